--- a/include/spurlug/relay/attempt.h
+++ b/include/spurlug/relay/attempt.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one sending of a request to a target
+// spurlug: one attempt to send a request to a target
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -20,24 +20,24 @@
 /// \brief The head of an answer arrived.
 struct HeadArrived
 {
-    int attempt = 0;
+    int attempt = 0; ///< Number of the attempt, as in all events of an attempt.
     net::ResponseHead head;
 };
 
-/// \brief Bytes of an answer arrived.
+/// \brief Bytes of an answer's body arrived.
 struct BytesArrived
 {
     int attempt = 0;
     std::string bytes;
 };
 
-/// \brief How far an attempt came before it ended.
+/// \brief The stage at which an attempt ended.
 enum class AttemptStage
 {
-    NotSent, ///< No connection: the target has seen nothing of the request.
-    Withheld, ///< Nothing was written: while it connected it came out that the target must get nothing more.
-    Sent, ///< The connection failed after that.
-    Answered, ///< The whole answer arrived.
+    NotSent, ///< No connection: the target has received nothing of the request.
+    Withheld, ///< Nothing was written: the target became unavailable to this daemon while the attempt connected.
+    Sent, ///< The attempt failed after sending had started.
+    Answered, ///< The complete answer arrived.
 };
 
 /// \brief An attempt ended.
@@ -45,30 +45,30 @@
 {
     int attempt = 0;
     AttemptStage stage = AttemptStage::Sent;
-    std::string detail; ///< What went wrong, for logs.
+    std::string detail; ///< Description of the failure, for logs.
 };
 
 /// \brief The caller closed its connection.
 struct CallerGone
 { };
 
-/// \brief The scheduler answered.
+/// \brief The scheduler answered a placement request.
 struct PlacementArrived
 {
     control::PlacementAnswer answer;
 };
 
-/// \brief What happens to a request.
-/// \brief The life of a target, or of an engine that helps it, is over.
+/// \brief The incarnation of the target, or of an engine that helps it, ended.
 struct LifeOver
 {
     int attempt = 0;
     core::Ref<Target> target;
 };
 
+/// \brief An event of a request.
 using RequestEvent = std::variant<HeadArrived, BytesArrived, AttemptEnded, CallerGone, PlacementArrived, LifeOver>;
 
-/// \brief The events of one request; outlives it while an attempt still runs.
+/// \brief The event queue of one request; outlives the request while an attempt still runs.
 struct RequestInbox : core::Counted<RequestInbox>
 {
     explicit RequestInbox(net::Loop &loop)
@@ -78,28 +78,29 @@
     net::Mailbox<RequestEvent> events;
 };
 
-/// \brief Sends a request and posts what comes back. Each attempt has a connection of its own: on a kept one a failure
-/// would not tell whether the target had seen the request.
+/// \brief Sends a request to a target and posts the resulting events. Each attempt uses a new connection: if a reused
+/// connection fails, it is unknown whether the target received the request.
 class Attempt : public core::Counted<Attempt>
 {
 public:
-    /// \param number Counted from 1 within a request; events carry it.
+    /// \param number Number of the attempt within the request, from 1; events contain it.
     Attempt(net::Loop &loop, core::Ref<RequestInbox> inbox, int number);
 
     /// \brief Whether the request may still be written.
     using MayWrite = std::function<bool()>;
 
-    /// \brief Begins. The attempt keeps itself alive until it ends.
-    /// \param mayWrite Asked once there is a connection.
+    /// \brief Starts the attempt, which keeps itself alive until it ends.
+    /// \param mayWrite Called once the connection is established.
     void start(const core::Address &target, net::Request message, core::Duration connectTimeout, core::Time deadline,
                MayWrite mayWrite);
 
-    /// \brief Gives the attempt up: its connection ends, so that the target stops working on it.
+    /// \brief Aborts the attempt: closes its connection, so that the target stops processing the request.
     void abort();
 
 private:
     [[nodiscard]] net::Task<> run(core::Address target, net::Request message, core::Duration connectTimeout,
                                   core::Time deadline, MayWrite mayWrite);
+    /// Posts AttemptEnded unless the attempt was aborted.
     void end(AttemptStage stage, std::string detail);
 
     net::Loop &m_loop;
--- a/include/spurlug/relay/dialect.h
+++ b/include/spurlug/relay/dialect.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what the relay asks of the protocol that callers and targets speak
+// spurlug: interface of the protocol between callers, relay and targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,40 +13,43 @@
 namespace spurlug::relay
 {
 
-/// \brief Translates between messages on the wire and the relay's own types. Keeps no state and decides nothing.
+/// \brief Converts between HTTP messages and the relay's types. Stateless, and makes no decisions.
 template<typename D>
 concept Dialect = requires(const D &dialect, const net::Request &request, const AttemptFacts &attempt,
                            const net::ResponseHead &head, const Refusal &refusal, const RequestFacts &facts,
                            const std::string &id, std::int64_t tokens, core::Duration hold, const std::string &targetId)
 {
-    // Throws core::Refused when the request cannot be understood.
+    // Parses a caller's request. Throws core::Refused if the request is malformed.
     {
         dialect.readRequest(request)
         } -> std::same_as<RequestFacts>;
-    // The request as a target gets it.
+    // Builds the request that is sent to the target.
     {
         dialect.attemptRequest(request, attempt)
         } -> std::same_as<net::Request>;
+    // Reads the head of a target's answer.
     {
         dialect.readAnswer(head)
         } -> std::same_as<AnswerFacts>;
-    // The head of the target's answer as the caller gets it.
+    // Builds the head that the caller gets from the head of a target's answer.
     {
         dialect.answerHead(head)
         } -> std::same_as<net::ResponseHead>;
-    // An answer of the relay itself.
+    // Builds an error answer of the relay itself.
     {
         dialect.refusal(refusal, facts)
         } -> std::same_as<net::Response>;
-    // Sets KV memory aside at an engine, or keeps it: status 200 when it is. Orders name the life they are for.
+    // Builds a request that reserves KV memory at an engine or renews the reservation; the engine answers 200 on
+    // success. These requests name the target that they are meant for.
     {
         dialect.reserveOrder(targetId, id, tokens, hold)
         } -> std::same_as<net::Request>;
-    // Gives it back.
+    // Builds a request that releases the memory.
     {
         dialect.releaseOrder(targetId, id)
         } -> std::same_as<net::Request>;
-    // Changes nothing at an engine; whoever else has its address says so.
+    // Builds a request that has no effect at the engine; another target that now uses the address answers that it is
+    // the wrong one.
     {
         dialect.lifeCheck(targetId)
         } -> std::same_as<net::Request>;
--- a/include/spurlug/relay/event_splitter.h
+++ b/include/spurlug/relay/event_splitter.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whole events of a stream, as they were sent
+// spurlug: splits an event stream into complete events
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -12,26 +12,27 @@
 namespace spurlug::relay
 {
 
-/// \brief One event, to be passed on byte for byte.
+/// \brief One server-sent event with its original bytes.
 struct StreamEvent
 {
-    std::string bytes; ///< The blank line at its end included.
-    std::optional<std::int64_t> id;
+    std::string bytes; ///< Bytes of the event, including the blank line at its end.
+    std::optional<std::int64_t> id; ///< Value of the `id` field, if it is a whole number.
 };
 
-/// \brief Cuts a stream of server-sent events into whole events without changing a byte.
+/// \brief Splits a stream of server-sent events into complete events without changing any byte.
 class EventSplitter
 {
 public:
+    /// \brief Appends received bytes.
     void feed(std::string_view bytes);
 
-    /// \brief Takes the next whole event; nothing while it has not arrived whole.
+    /// \brief Removes and returns the next event; nothing until it is complete.
     [[nodiscard]] std::optional<StreamEvent> next();
 
-    /// \brief Whether bytes wait that are no whole event yet.
+    /// \brief Whether any bytes are buffered. After `next` returned nothing, they are an incomplete event.
     [[nodiscard]] bool inTheMiddle() const noexcept;
 
-    /// \brief Bytes that wait.
+    /// \brief Number of buffered bytes.
     [[nodiscard]] std::size_t waiting() const noexcept;
 
 private:
--- a/include/spurlug/relay/relay_daemon.h
+++ b/include/spurlug/relay/relay_daemon.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the whole relaying daemon
+// spurlug: the relay daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -24,39 +24,46 @@
 
 /// \brief Serves callers until it is told to stop.
 ///
-/// One thread runs everything: a relaying daemon spends a hundredth of a core, and what its coroutines share needs no
-/// lock. A second thread writes the log.
+/// One thread runs everything, so that state shared between coroutines needs no lock; a relay daemon uses one hundredth
+/// of a core. A second thread writes the log.
 template<Dialect Protocol, Directory Source>
 class RelayDaemon
 {
 public:
-    /// \param settingsPath Read again when the daemon is told to, or when the file has changed.
-    /// \throws NetworkError when an address cannot be bound.
+    /// \param settingsPath Settings file, read again on SIGHUP or when its content has changed.
+    /// \throws NetworkError if an address cannot be bound.
     RelayDaemon(net::Loop &loop, settings::RelaySettings settings, std::string settingsPath, Protocol protocol,
                 Source &source);
 
-    /// \brief Begins to serve; the loop does the rest.
+    /// \brief Starts to serve; the caller runs the loop.
     void start();
-    /// \brief Stops as planned: nothing new is invited, what is in progress ends, then the loop stops.
+    /// \brief Shuts down gracefully: reports not ready, waits for requests in progress, then stops the loop.
     void stop();
     /// \brief Starts and runs the loop until the daemon has stopped.
     void run();
 
 private:
-    static constexpr auto QuietBeforeEnd = absl::Milliseconds(2500); ///< For the balancer to notice, twice a second.
-    static constexpr auto StopCheck = absl::Milliseconds(50);
-    static constexpr auto EndBeforeKill = absl::Milliseconds(500); ///< Part of the grace left unused.
-    static constexpr double IdleSlack = 1.25; ///< Callers may use a connection until its idle timeout has passed.
+    /// Minimum time of draining: the load balancer, which checks twice a second, must notice it.
+    static constexpr auto QuietBeforeEnd = absl::Milliseconds(2500);
+    static constexpr auto StopCheck = absl::Milliseconds(50); ///< Interval between checks while draining.
+    static constexpr auto EndBeforeKill = absl::Milliseconds(500); ///< Part of the grace period that is left unused.
+    /// Factor on the idle timeout: callers may use a connection until the timeout has passed.
+    static constexpr double IdleSlack = 1.25;
 
     void spawn(net::Task<> task);
     [[nodiscard]] net::Task<> serveCaller(net::asio::ip::tcp::socket socket);
+    /// Answers a request that could not be read or parsed, and closes the connection.
     [[nodiscard]] net::Task<> rejectUnread(core::Ref<net::ServerConnection> caller, net::ReadResult result);
     [[nodiscard]] net::ReadLimits readLimits();
+    /// Handler of the readiness endpoint.
     [[nodiscard]] net::Response readiness(const net::Request &request) const;
+    /// Handler of state queries from peers.
     [[nodiscard]] net::Response control(const net::Request &request) const;
     [[nodiscard]] net::Task<> awaitSignals();
     [[nodiscard]] net::Task<> drain();
+    /// Reloads the settings when the content of the file changes.
     [[nodiscard]] net::Task<> watchSettings();
+    /// Reads the settings file; invalid settings are logged and ignored.
     void reload();
     [[nodiscard]] bool ready(core::Time now) const;
 
@@ -72,7 +79,7 @@
     SimpleServer m_control;
     SimpleServer m_metricsServer;
     net::asio::signal_set m_signals;
-    core::Duration m_longestIdle = absl::ZeroDuration(); ///< Longest idle timeout that was in force.
+    core::Duration m_longestIdle = absl::ZeroDuration(); ///< Longest idle timeout that has been configured so far.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/relay_daemon_impl.h
+++ b/include/spurlug/relay/relay_daemon_impl.h
@@ -1,10 +1,10 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the whole relaying daemon: implementation
+// spurlug: the relay daemon: implementation
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
 
-#include "spurlug/relay/relay_daemon.h" // For tools that read this file alone.
+#include "spurlug/relay/relay_daemon.h" // Lets tools parse this file on its own.
 
 #include <algorithm>
 #include <csignal>
@@ -85,7 +85,7 @@
         limits.headBytes = static_cast<std::size_t>(set.headBytes);
         limits.bodyBytes = static_cast<std::size_t>(set.bodyBytes);
         limits.headTimeout = set.headTimeout;
-        // A caller may still go by an earlier version.
+        // A caller may still rely on the idle timeout of an earlier configuration.
         m_longestIdle = std::max(m_longestIdle, set.idleTimeout);
         limits.idleTimeout = m_longestIdle * IdleSlack;
     }
@@ -110,7 +110,7 @@
         refusal.reason = core::Reason::BodyTooLarge;
         break;
     default:
-        co_return; // The connection is gone.
+        co_return; // The connection is closed.
     }
     m_metrics.countRefusal(refusal.reason);
     core::log(core::LogLevel::Info, "request_unreadable",
@@ -251,7 +251,7 @@
 {
     try {
         auto fresh = settings::loadRelaySettings(m_settingsPath);
-        // Addresses and bounds are those of this process for its life; the rest may change.
+        // Addresses and bounds stay fixed until the process restarts; only the seeds and the log level are updated.
         m_settings.seeds = std::move(fresh.seeds);
         m_settings.logLevel = fresh.logLevel;
         core::setLogLevel(fresh.logLevel);
--- a/include/spurlug/relay/request_facts.h
+++ b/include/spurlug/relay/request_facts.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what the relay needs to know of requests and answers, whatever protocol carries them
+// spurlug: protocol-independent data about requests and answers
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -17,77 +17,77 @@
 namespace spurlug::relay
 {
 
-/// \brief The prompt of a request to a model engine, tokens.
+/// \brief Prompt size of a request to a model engine, in tokens.
 struct PromptFacts
 {
     std::int64_t promptTokens = 0;
-    std::int64_t mostAnswerTokens = 0; ///< Most that may be generated.
+    std::int64_t mostAnswerTokens = 0; ///< Maximum number of tokens to generate.
 
-    /// \brief KV memory that the request can come to need.
+    /// \brief Maximum KV memory that the request can need, in tokens.
     [[nodiscard]] std::int64_t memoryTokens() const noexcept
     {
         return promptTokens + mostAnswerTokens;
     }
 };
 
-/// \brief A caller's request, as far as decisions depend on it.
+/// \brief The properties of a caller's request that relay decisions depend on.
 struct RequestFacts
 {
-    std::string id; ///< The caller's; unique to each of its tries.
-    std::string host; ///< Without a port.
-    std::string path; ///< Without a query.
-    std::optional<std::string> key; ///< The caller's API key.
-    core::Duration patience = absl::InfiniteDuration(); ///< How long the caller waits.
-    std::optional<PromptFacts> prompt;
-    std::optional<std::int64_t> resumeAfter; ///< The caller has a stream's events up to this one.
-    core::Digest content; ///< Of method, path with its query, and body.
+    std::string id; ///< Request ID that the caller sets; each of its retries has another one.
+    std::string host; ///< Host name without the port.
+    std::string path; ///< Path without the query.
+    std::optional<std::string> key; ///< API key of the caller, if it sent one.
+    core::Duration patience = absl::InfiniteDuration(); ///< How long the caller waits after its request arrived.
+    std::optional<PromptFacts> prompt; ///< Set for requests that carry a prompt.
+    std::optional<std::int64_t> resumeAfter; ///< ID of the last stream event that the caller already has.
+    core::Digest content; ///< Digest of the method, the path with its query, and the body.
 };
 
-/// \brief An engine that reads a part of a prompt for another one.
+/// \brief An engine that processes a part of a prompt for another engine.
 struct HelperRef
 {
     core::Address address;
-    std::string reservation; ///< KV memory set aside there for the prompt; empty: none.
+    std::string reservation; ///< ID of the KV memory reservation there; empty if there is none.
 };
 
-/// \brief What one sending of a request tells its target beside the caller's own words.
+/// \brief The data that the relay adds to the caller's request for one attempt.
 struct AttemptFacts
 {
     std::string targetId;
     core::Address target;
-    std::string organisation; ///< Empty: none.
-    core::Duration timeLeft;
-    std::optional<std::int64_t> resumeAfter;
+    std::string organisation; ///< Organisation of the caller; empty if there is none.
+    core::Duration timeLeft; ///< Time until the deadline of the request.
+    std::optional<std::int64_t> resumeAfter; ///< ID of the last stream event that the caller already has.
     std::vector<HelperRef> helpers;
-    std::optional<int> priority; ///< 0 is the most urgent.
+    std::optional<int> priority; ///< Priority for engines; 0 is the most urgent.
 };
 
-/// \brief What the head of a target's answer says.
+/// \brief The information in the head of a target's answer.
 struct AnswerFacts
 {
-    std::string requestId; ///< Of the request it answers.
-    int status = 0;
-    bool notRun = false; ///< The target did not begin the work.
-    bool wrongTarget = false; ///< The address belongs to another target now.
-    bool hasSignature = false; ///< The target's proof that the answer is its own.
+    std::string requestId; ///< ID of the request that is answered.
+    int status = 0; ///< HTTP status.
+    bool notRun = false; ///< The target did not start processing the request.
+    bool wrongTarget = false; ///< The address now belongs to another target.
+    bool hasSignature = false; ///< The answer has the target's signature.
     bool isEventStream = false;
-    bool encoded = false; ///< The body is not in the form the caller asked for.
-    std::optional<core::Address> faultAt; ///< The helper that was at fault.
-    bool leaving = false; ///< The target ends soon.
-    std::optional<core::Duration> cold; ///< How much longer the target is slow; nothing: not told.
-    bool coldUnreadable = false; ///< It told a time that is none.
-    std::optional<core::Duration> retryAfter; ///< Time in which it wants nothing from this daemon; nothing: not told.
-    bool retryAfterUnreadable = false; ///< It told a time that is none.
-    std::optional<double> rateLimit; ///< Requests a second that the target takes from all daemons; nothing: not told.
-    bool rateLimitUnreadable = false; ///< It told a rate that is none.
+    bool encoded = false; ///< The body has a content encoding, which the caller did not ask for.
+    std::optional<core::Address> faultAt; ///< Address of the helper that caused the failure.
+    bool leaving = false; ///< The target is about to shut down.
+    std::optional<core::Duration> cold; ///< How much longer the target is slow, if stated.
+    bool coldUnreadable = false; ///< `cold` was sent but is not a valid duration.
+    std::optional<core::Duration> retryAfter; ///< How long this daemon must send the target nothing, if stated.
+    bool retryAfterUnreadable = false; ///< `retryAfter` was sent but is not a valid duration or date.
+    std::optional<double> rateLimit; ///< Requests per second that the target accepts from all daemons, if stated.
+    bool rateLimitUnreadable = false; ///< `rateLimit` was sent but is not a valid rate.
 };
 
-/// \brief Why a request is answered by the relay itself.
+/// \brief An error answer that the relay itself gives to a request.
 struct Refusal
 {
-    int status = 503;
+    int status = 503; ///< HTTP status.
     core::Reason reason = core::Reason::None;
-    core::Duration retryAfter = absl::ZeroDuration(); ///< When to come back; 0: not told.
+    core::Duration retryAfter = absl::ZeroDuration(); ///< Time after which the caller should retry; not sent if 0.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/request_progress.h
+++ b/include/spurlug/relay/request_progress.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the decisions in the life of one relayed request
+// spurlug: state and decisions of one relayed request
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -18,9 +18,9 @@
 namespace spurlug::relay
 {
 
-/// \brief What is decided about one request from its arrival to its end, and the record of it.
+/// \brief Makes all decisions about one request from its arrival to its end, and logs and counts them.
 ///
-/// Knows no socket: the coroutine that moves the bytes asks it what to do and tells it what happened.
+/// Does no I/O: the coroutine in RequestRun that transfers the bytes asks it what to do and reports what happened.
 class RequestProgress
 {
 public:
@@ -32,47 +32,53 @@
     /// \name Commands
     /// @{
 
-    /// \brief Looks the request's route and organisation up in the configuration in force now. Called before each
-    /// sending: a key or a route may have gone while the request waited.
-    /// \returns Why the request must not run, or nothing.
+    /// \brief Looks up the route and organisation of the request in the current configuration. Called before each
+    /// attempt, because a key or a route may have been removed while the request waited.
+    /// \returns The refusal if the request must not run.
     [[nodiscard]] std::optional<Refusal> authorise(core::Time now);
 
-    /// \brief What the request asks of its target now. A request that has waited a part of its aim may queue at one.
-    /// The first call counts the request in the fleet's bound on repeated sends.
+    /// \brief The current criteria for a target. A request that has waited for a certain share of its latency
+    /// objective (`aim`) may queue at a target. The first call for a service counts the request towards the retry
+    /// budget of that service.
     [[nodiscard]] TargetQuery query(core::Time now);
 
-    /// \brief Chooses targets with what this daemon knows now.
+    /// \brief Chooses targets using the current knowledge of this daemon.
+    /// \returns Nothing if no target is free or the evacuations are not known yet.
     [[nodiscard]] std::optional<ChosenTargets> choose(core::Time now);
 
-    /// \brief Notes that the request goes to these targets: their work counts from here.
-    /// \param scheduler Name of the VM whose scheduler chose them; empty: this daemon did.
+    /// \brief Starts an attempt at these targets; the request counts towards their load from now on.
+    /// \param scheduler Name of the VM whose scheduler chose them; empty if this daemon chose them.
     void begin(const ChosenTargets &chosen, std::string_view scheduler, core::Time now);
-    /// \brief Notes that the target said something.
+    /// \brief Records that the target sent bytes or accepted a connection.
     void heard(core::Time now) noexcept;
-    /// \brief Notes an event or the whole answer.
+    /// \brief Records that a stream event or the complete answer arrived.
     void answered(core::Time now);
-    /// \brief Notes that an attempt ended.
+    /// \brief Records that an attempt ended.
+    /// \param fault What the target did wrong, if anything.
+    /// \param detail Description for the log.
     void endAttempt(core::Outcome outcome, core::Reason reason, std::optional<TargetFault> fault,
                     const std::string &detail, core::Time now);
-    /// \brief Notes that the attempt ended before anything was written.
-    /// \param reason Why the target must get nothing.
+    /// \brief Records that the attempt ended before anything was written.
+    /// \param reason Why nothing may be sent to the target.
     void withhold(core::Reason reason, core::Time now);
-    /// \brief Notes that an engine did not help the target. One that leaves, is full or cannot be reached is named at
-    /// once: it is not asked for help for a while, and may answer requests of its own well. One that was waited for in
-    /// vain is left out.
+    /// \brief Records that an engine did not help the target. The target reports a helper that is shutting down, full
+    /// or unreachable at once: that helper is not asked for help for a while, but it may still be able to answer
+    /// requests itself. A helper for which the target waited in vain is ejected.
     void helpRefused(const core::Ref<Target> &helper, core::Time now);
-    /// \brief Notes that an engine did not set memory aside.
+    /// \brief Records that an engine refused to reserve memory.
     void memoryRefused(const core::Ref<Target> &helper, core::Time now);
 
-    /// \brief Notes that a target of the attempt in progress ended: its connection broke, and nothing listens there.
+    /// \brief Records that the process of a target of the current attempt ended: the connection broke or became
+    /// silent, and a new connection was refused.
     void targetEnded(const core::Ref<Target> &target, core::Time now);
 
-    /// \brief Whether to send the request again; takes the repeated send out of the fleet's bound.
+    /// \brief Whether to send the request again; charges the retry to the fleet-wide retry budget.
+    /// \param mayRepeat Whether the request may be processed twice.
     /// \param cause Why the last attempt failed.
     [[nodiscard]] bool takeResend(bool mayRepeat, core::Reason cause, core::Time now);
 
-    /// \brief Notes the end of the request.
-    /// \param status Status the caller got; 0: the connection ended instead.
+    /// \brief Records the end of the request; later calls do nothing.
+    /// \param status HTTP status that the caller got; 0 if its connection ended instead.
     void finish(core::Outcome outcome, core::Reason reason, int status, core::Time now);
 
     /// @}
@@ -80,99 +86,107 @@
     /// @{
 
     [[nodiscard]] const RequestFacts &facts() const noexcept;
-    /// \brief Tells the same work apart from other work, whatever id and daemon it comes with: host, content and
-    /// organisation. Known once the request was authorised.
+    /// \brief Identifies the work of the request independently of its ID and of the daemon: a digest of organisation,
+    /// host and content. Set once the request is authorised.
     [[nodiscard]] const core::Digest &digest() const noexcept;
     [[nodiscard]] const config::Route &route() const noexcept;
     [[nodiscard]] const std::string &organisation() const noexcept;
-    /// \brief The operator's priority of the request; 0 is the most urgent.
+    /// \brief Priority that the operator configured for the request; 0 is the most urgent.
     [[nodiscard]] int priority() const noexcept;
     [[nodiscard]] core::Time deadline() const noexcept;
     [[nodiscard]] int attempts() const noexcept;
-    /// \brief Whether some attempt may have run.
+    /// \brief Whether any ended attempt may have been processed by its target.
     [[nodiscard]] bool ranSomewhere() const noexcept;
-    /// \brief Priority to tell engines.
+    /// \brief Priority to send to engines: from the operator's priority and the prompt length. Only for requests with a
+    /// prompt.
     [[nodiscard]] int enginePriority() const noexcept;
-    /// \brief Silence of a target before its first bytes, and between bytes, until it is checked.
+    /// \brief How long a target may send nothing before it is checked.
+    /// \param answering Whether bytes of the answer have arrived.
     [[nodiscard]] core::Duration patience(const ChosenTargets &chosen, bool answering) const noexcept;
-    /// \brief Silence of a target that takes connections until another one is tried.
+    /// \brief How long a target that accepts connections may send nothing before another target is tried.
+    /// \param answering Whether bytes of the answer have arrived.
     [[nodiscard]] core::Duration longestSilence(const ChosenTargets &chosen, bool answering) const noexcept;
-    /// \brief How long a caller waits for the first event before it leaves.
+    /// \brief How long a caller waits for the first event before it abandons the stream.
     [[nodiscard]] core::Duration callerPatience() const noexcept;
-    /// \brief Whether no target of the request's service is listed: waiting for one has no ground.
+    /// \brief Whether no target of the service is listed and the request has run nowhere, so that waiting is pointless.
     [[nodiscard]] bool hasNoTarget(core::Time now) const;
-    /// \brief Why there is none: the service has no targets, or all of them are in evacuated failure domains.
+    /// \brief Why no target is listed: the service has none, or all of them are in evacuated failure domains.
     [[nodiscard]] core::Reason whyNoTarget(core::Time now) const;
-    /// \brief When the first of the targets that the request may go to takes requests of this daemon again; nothing:
-    /// one does now, or there is none.
+    /// \brief When the first permitted target accepts requests from this daemon again; nothing if one does now or if
+    /// there is none.
     [[nodiscard]] std::optional<core::Time> backAt(const TargetQuery &query, core::Time now) const;
-    /// \brief Why that target takes none until then.
+    /// \brief Why that target accepts no requests until then.
     [[nodiscard]] core::Reason whyAway(const TargetQuery &query, core::Time now) const;
-    /// \brief Whether waiting until `backAt` is in vain: the request would be refused, or be late for good, before.
+    /// \brief Whether the request would be refused or reach its deadline before `backAt`, so that waiting is pointless.
     [[nodiscard]] bool backTooLate(core::Time backAt, core::Time now) const noexcept;
-    /// \brief When a request that waits for `backAt` goes on: not all at once, the operator's priority first.
+    /// \brief When a request that waits for `backAt` continues: staggered, in the order of the operator's priority.
     [[nodiscard]] core::Time wakeAt(core::Time backAt) const;
-    /// \brief Whether a request that no target takes should be refused now rather than wait on. Only time without a
-    /// target counts: what was lost to one that did not take the connection says nothing of the others.
+    /// \brief Whether a request without an available target should be refused now instead of waiting longer. The time
+    /// spent in attempts is not counted: a target that did not accept the connection says nothing about the others.
     [[nodiscard]] bool waitedEnough(core::Time now) const noexcept;
-    /// \brief Whether the target said something to any request not long ago: it is slow then, not gone.
+    /// \brief Whether the target recently sent bytes for any request or passed a check, so that it is slow, not dead.
     [[nodiscard]] bool targetLives(core::Time now) const noexcept;
-    /// \brief Whether the attempt in progress needs a target: it answers, or has a part of the prompt to read or to
-    /// keep.
+    /// \brief Whether the current attempt depends on a target: it answers the request, holds KV memory for the prompt,
+    /// or has not processed its part of the prompt yet.
     [[nodiscard]] bool needs(const Target &target) const noexcept;
     /// \brief Whether the request is served by a model engine.
     [[nodiscard]] bool atEngine() const;
-    /// \brief The target of the attempt in progress.
+    /// \brief The target of the current attempt.
     [[nodiscard]] const core::Ref<Target> &target() const noexcept;
-    /// \brief When the attempt in progress began, before its connection was made.
+    /// \brief When the current attempt started, before its connection was established.
     [[nodiscard]] core::Time sentAt() const noexcept;
-    /// \brief The engine at an address that was asked to help with the request; null when none was.
+    /// \brief The helper of the current attempt at this address; null if there is none.
     [[nodiscard]] core::Ref<Target> helperAt(const core::Address &address) const;
-    /// \brief When a caller that is refused now should come back.
+    /// \brief After which time a caller that is refused now should retry; 0 if a retry cannot succeed.
     [[nodiscard]] core::Duration retryAfter(core::Reason reason, core::Time now) const;
-    /// \brief The relay's own last word.
+    /// \brief The final error answer if no attempt succeeded.
     [[nodiscard]] Refusal lastWord(core::Reason reason, core::Time now) const;
 
     /// @}
 
 private:
-    /// Requests that a service's targets can run at once, as this daemon believes.
+    /// Slots of the targets of a service, as known to this daemon.
     struct Places
     {
         std::int64_t taken = 0;
         std::int64_t all = 0;
     };
 
-    /// When a target takes requests of this daemon again, and why not now.
+    /// When a target accepts requests from this daemon again, and why not now.
     struct Away
     {
         core::Time until;
         core::Reason why;
     };
 
-    /// Nothing: it may get one now. Of engines whose prompts a scheduler places, only that one knows it.
+    /// Nothing if the target accepts a request now. The rate limits of engines are not checked: only the scheduler that
+    /// places their prompts knows whether the limit admits one.
     [[nodiscard]] std::optional<Away> away(const Target &target, core::Time now) const;
-    /// The first target back; nothing: one is there, or there is none.
+    /// The permitted target that is available first; nothing if one is available now or if there is none.
     [[nodiscard]] std::optional<Away> firstBack(const TargetQuery &query, core::Time now) const;
+    /// Computes `m_digest`.
     void noteDigest();
-    /// Notes that the target, and the engines that help it, were reached.
+    /// Records that the target and the engines that help it were reached.
     void noteReached();
-    /// Refuses work that is known to end its targets; takes the trial of it where one is due here.
+    /// Refuses work that is known to crash its targets, unless this daemon now sends it as a trial.
     [[nodiscard]] std::optional<Refusal> refuseQuarantined(core::Time now);
-    /// Notes that the work ran to an end and its target lives.
+    /// Records that the request completed without crashing its target.
     void noteSurvived(core::Time now);
-    /// Takes a repeated send out of the fleet's bound.
+    /// Charges a retry to the fleet-wide retry budget.
+    /// \returns Whether the budget allows it.
     [[nodiscard]] bool takeRepeat(core::Reason cause, core::Time now);
-    /// Tells the scheduler soon that this daemon's work changed.
+    /// Has the scheduler informed soon that the load from this daemon changed.
     void noteWork();
     [[nodiscard]] Places placesOf(const std::string &service, core::Time now) const;
     [[nodiscard]] PromptRequest promptRequest(core::Time now) const;
     [[nodiscard]] const std::string &chooseService();
+    /// Whether the stream tolerates only short gaps between events.
     [[nodiscard]] bool isTight() const noexcept;
     [[nodiscard]] Refusal refuse(core::Reason reason, core::Time now) const;
-    /// Time without a target after which a request that ran nowhere is refused.
+    /// Maximum time without a target before a request that has run nowhere is refused.
     [[nodiscard]] core::Duration longestWait() const noexcept;
-    /// A place in the order of return, from 0 to 1: the operator's priorities one after the other, drawn within each.
+    /// Position in the order in which waiting requests continue, 0 to 1: by the operator's priority, random within
+    /// one priority.
     [[nodiscard]] double placeInOrder() const;
 
     RelayContext &m_context;
@@ -185,23 +199,23 @@
     core::Digest m_digest;
     std::int64_t m_priority = 0;
     core::Time m_deadline = absl::InfiniteFuture();
-    bool m_counted = false; ///< Whether the service's ledger knows of the request.
+    bool m_counted = false; ///< Whether the request is counted towards the retry budget of `m_service`.
     std::vector<std::unique_ptr<Share>> m_shares;
-    std::vector<std::uint32_t> m_sentTo; ///< Hashes of targets that have seen the request.
-    std::vector<std::uint32_t> m_unreachable; ///< Hashes of targets that took no connection.
-    std::vector<std::uint32_t> m_refusedBy; ///< Of those in `m_sentTo`, the ones that did not begin.
+    std::vector<std::uint32_t> m_sentTo; ///< Hashes of targets that may have received the request.
+    std::vector<std::uint32_t> m_unreachable; ///< Hashes of targets that could not be connected to.
+    std::vector<std::uint32_t> m_refusedBy; ///< Hashes of the targets in `m_sentTo` that refused the request.
     ChosenTargets m_current;
-    bool m_someHelpRefused = false; ///< Whether an engine did not help with this request before.
-    bool m_helperAtFault = false; ///< Whether the current target was kept from answering by one that should help it.
-    core::Duration m_atTargets = absl::ZeroDuration(); ///< Time spent in attempts that ended.
+    bool m_someHelpRefused = false; ///< Whether any helper of this request refused or failed to help.
+    bool m_helperAtFault = false; ///< Whether the current target could not answer because a helper failed.
+    core::Duration m_atTargets = absl::ZeroDuration(); ///< Total duration of the ended attempts.
     core::Time m_sentAt = absl::InfinitePast();
-    core::Time m_answeredAt = absl::InfinitePast(); ///< First event, or the whole answer.
+    core::Time m_answeredAt = absl::InfinitePast(); ///< When the first event or the complete answer arrived.
     core::Time m_lastEventAt = absl::InfinitePast();
-    core::Duration m_longestGap = absl::ZeroDuration(); ///< Between events.
+    core::Duration m_longestGap = absl::ZeroDuration(); ///< Longest time between two consecutive events.
     int m_attempts = 0;
-    core::Reason m_repeatCause = core::Reason::None; ///< Why the request is sent beyond the first time; None: it isn't.
+    core::Reason m_repeatCause = core::Reason::None; ///< Why the request was last sent again; None if it was not.
     bool m_ranSomewhere = false;
-    bool m_isTrial = false; ///< Sent though it is quarantined, to see whether it still ends its target.
+    bool m_isTrial = false; ///< Sent although it is quarantined, to test whether it still crashes its target.
     bool m_finished = false;
 };
 
--- a/include/spurlug/relay/request_run.h
+++ b/include/spurlug/relay/request_run.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: moves the bytes of one relayed request
+// spurlug: transfers the bytes of one relayed request
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -29,14 +29,14 @@
 namespace detail
 {
 
-/// A live target accepts within a few ms, also beside a pause of this process of a tenth of a second. What is left of
-/// an aim of 300 ms is enough for another target, which answers a short prompt in some 140 ms.
+/// A live target accepts a connection within a few ms; the timeout leaves room for a pause of this process of 100 ms.
+/// After it, a latency objective of 300 ms still leaves time for another target, which answers a short prompt in about
+/// 140 ms.
 inline constexpr auto ConnectTimeout = absl::Milliseconds(150);
 
 } // namespace detail
 
-/// \brief One request from a caller to its answer. The coroutine `run` does everything; all decisions are those of
-/// RequestProgress.
+/// \brief Relays one request and its answer. The coroutine `run` does all I/O; RequestProgress makes all decisions.
 template<Dialect D>
 class RequestRun
 {
@@ -44,66 +44,90 @@
     RequestRun(RelayContext &context, const D &dialect, core::Ref<net::ServerConnection> caller, net::Request request,
                RequestFacts facts, core::Time arrivedAt);
 
-    /// \brief Serves the request.
-    /// \returns Whether the connection can take another one.
+    /// \brief Relays the request and answers the caller.
+    /// \returns Whether the caller's connection can be used for another request.
     [[nodiscard]] net::Task<bool> run();
 
 private:
-    /// What follows an attempt.
+    /// What to do after an attempt or one of its events.
     enum class Next
     {
-        Done, ///< The caller has its answer, or is gone.
-        SendAgain,
-        Fail, ///< The relay has the last word.
+        Done, ///< Nothing more: the caller has its answer, or disconnected.
+        SendAgain, ///< Start another attempt.
+        Fail, ///< End the request with an error of the relay.
     };
 
-    /// Looks the request up in the configuration; waits for a new proof of it where one may come within moments.
-    /// \returns Why the request must not run, or nothing.
+    /// Authorises the request by the configuration. Waits for a short time if the configuration, or the confirmation
+    /// that it is current, is likely to arrive soon.
+    /// \returns The refusal if the request must not run.
     [[nodiscard]] net::Task<std::optional<Refusal>> authorise();
+    /// Makes attempts until the caller has an answer or the request fails.
+    /// \returns False if the caller's connection cannot be used any more.
     [[nodiscard]] net::Task<bool> pursue();
     [[nodiscard]] net::Task<Next> attempt(const ChosenTargets &chosen);
+    /// \returns The targets for an attempt; nothing if the request fails, for the reason in `m_failure`, or if the
+    /// caller disconnected.
     [[nodiscard]] net::Task<std::optional<ChosenTargets>> chooseOrWait();
+    /// Reserves KV memory at the helpers that need it.
+    /// \returns Whether all of them granted it.
     [[nodiscard]] net::Task<bool> reserve(const ChosenTargets &chosen);
+    /// Releases all reservations.
     void releaseAll();
-    /// Whether the life of an engine that holds memory for the prompt is over.
+    /// Whether the incarnation of an engine that holds memory for the prompt has ended.
     [[nodiscard]] bool holderEnded(const ChosenTargets &chosen) const;
-    /// Has the request told when the life of an engine of the attempt is over.
+    /// Has an event posted to the request when the incarnation of an engine of the attempt ends.
     void watchLives(const ChosenTargets &chosen);
+    /// Starts an attempt.
     void send(const ChosenTargets &chosen);
+    /// Handles the events of the current attempt until it ends.
     [[nodiscard]] net::Task<Next> follow(const ChosenTargets &chosen);
-    /// A silent attempt.
+    /// State of an attempt whose target sends nothing.
     struct Silence
     {
-        core::Time heardAt; ///< When its last bytes came, or when it was sent.
-        bool answering = false; ///< Whether some bytes of its answer came.
-        bool patient = false; ///< No other target can be tried: it is waited for until the deadline.
-        int refusedConnections = 0; ///< Checks in a row at which the target took no connection.
+        core::Time heardAt; ///< When the last bytes arrived, or when the attempt started.
+        bool answering = false; ///< Whether bytes of the answer's body have arrived.
+        bool patient = false; ///< No other target can be tried, so the relay waits until the deadline.
+        int refusedConnections = 0; ///< Number of consecutive checks that found the target unreachable.
     };
-    /// Gives a silent attempt up if its target is dead, or silent for too long.
-    /// \returns What follows if it was given up.
+    /// Aborts a silent attempt if its target is dead or has been silent for too long.
+    /// \returns What to do next if the attempt was aborted.
     [[nodiscard]] net::Task<std::optional<Next>> leaveIfDead(const ChosenTargets &chosen, Silence &silence);
-    /// Ends a silent attempt that may not be sent again: at once where the target is dead, so that memory at other
-    /// engines is not held for it, else it is waited for.
+    /// Handles a silent attempt that cannot be retried. If the target is dead, the attempt is aborted at once, so that
+    /// other engines do not keep memory reserved for it, unless a stream without reservations has begun. Otherwise the
+    /// relay keeps waiting.
+    /// \returns What to do next if the attempt was aborted.
     [[nodiscard]] std::optional<Next> endOrWait(Silence &silence, core::Time now);
-    /// Gives the attempt up where it cannot end well without a life that is over.
+    /// Aborts the attempt if it depends on a target whose incarnation ended.
+    /// \param given Set to whether the attempt was aborted.
     [[nodiscard]] Next leaveLife(const Target &ended, bool &given);
-    /// Whether a target still takes connections. An engine is asked whether it is the one that is meant; where another
-    /// life has its address, the target's is over.
+    /// Whether a target still accepts connections. An engine is also asked whether it is the expected target; if
+    /// another one now uses the address, the incarnation of the expected target has ended.
     [[nodiscard]] net::Task<bool> reaches(core::Ref<Target> target);
-    /// Finds out whether a target of the attempt in progress ended: a connection that broke says nothing of that, one
-    /// that is refused does. Costs a way there and back before the request goes on.
+    /// Checks whether the process of a target of the current attempt ended. A broken connection does not show that,
+    /// a refused one does. The check delays the request by one round trip.
     [[nodiscard]] net::Task<> checkForEnd(core::Ref<Target> target);
+    /// Handles one event. The `take` functions set \p ended if the attempt is over; only then is the result valid.
     [[nodiscard]] net::Task<Next> take(RequestEvent event, const ChosenTargets &chosen, bool &ended);
     [[nodiscard]] net::Task<Next> takeHead(net::ResponseHead head, bool &ended);
     [[nodiscard]] net::Task<Next> takeBytes(const std::string &bytes, bool &ended);
     [[nodiscard]] net::Task<Next> takeEnd(const AttemptEnded &end);
+    /// Passes a complete non-stream answer on to the caller.
     [[nodiscard]] net::Task<Next> passWhole();
+    /// Passes the head of a stream on to the caller.
+    /// \returns Whether it was written.
     [[nodiscard]] net::Task<bool> passHead();
+    /// Passes a stream event on to the caller, after the head if that is not written yet.
+    /// \returns Whether it was written.
     [[nodiscard]] net::Task<bool> passEvent(StreamEvent event);
+    /// Ends a failed attempt and decides whether to retry.
     [[nodiscard]] Next afterFailure(core::Outcome outcome, core::Reason reason, std::optional<TargetFault> fault,
                                     const std::string &detail);
+    /// Writes an error answer of the relay.
+    /// \returns Whether the caller's connection can be used for another request.
     [[nodiscard]] net::Task<bool> refuse(Refusal refusal);
+    /// Whether the request may be processed again after what the caller has already received.
     [[nodiscard]] bool mayRepeat() const;
+    /// Whether the caller's connection stays open after the answer.
     [[nodiscard]] bool keepsAlive() const;
 
     RelayContext &m_context;
@@ -114,17 +138,18 @@
     core::Ref<RequestInbox> m_inbox;
     core::Ref<Attempt> m_attempt;
     std::vector<core::Ref<Reservation>> m_reservations;
-    std::vector<std::unique_ptr<LifeWatch>> m_watches; ///< Of the engines of the attempt in progress.
-    std::optional<control::PlacementAnswer> m_grant; ///< What the targets were chosen by; nothing: this daemon alone.
-    core::Duration m_reservePause = absl::Milliseconds(10); ///< Doubles while memory is refused.
+    std::vector<std::unique_ptr<LifeWatch>> m_watches; ///< For the engines of the current attempt.
+    /// The scheduler's grant for the chosen targets; nothing if this daemon chose them.
+    std::optional<control::PlacementAnswer> m_grant;
+    core::Duration m_reservePause = absl::Milliseconds(10); ///< Wait after a refused reservation; doubles each time.
     core::Reason m_failure = core::Reason::None; ///< Why the last attempt failed.
     bool m_callerGone = false;
-    net::ResponseHead m_head; ///< Of the attempt in progress.
-    bool m_isStream = false; ///< Whether the attempt in progress answers with events.
-    std::string m_body; ///< Of a plain answer, so far.
-    EventSplitter m_events; ///< Of the attempt in progress.
-    bool m_headPassed = false; ///< Whether the caller has the head of a stream.
-    std::optional<std::int64_t> m_lastEvent; ///< The caller has the stream's events up to this one.
+    net::ResponseHead m_head; ///< Head of the current attempt's answer.
+    bool m_isStream = false; ///< Whether the current attempt is answered with an event stream.
+    std::string m_body; ///< Body of a non-stream answer, as received so far.
+    EventSplitter m_events; ///< Stream events of the current attempt.
+    bool m_headPassed = false; ///< Whether the head of a stream was sent to the caller.
+    std::optional<std::int64_t> m_lastEvent; ///< ID of the last stream event that the caller has.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/request_run_answer_impl.h
+++ b/include/spurlug/relay/request_run_answer_impl.h
@@ -1,10 +1,10 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: moves the bytes of one relayed request: a target's answer
+// spurlug: transfers the bytes of one relayed request: answers of targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
 
-#include "spurlug/relay/request_run.h" // For tools that read this file alone.
+#include "spurlug/relay/request_run.h" // Lets tools parse this file on its own.
 
 namespace spurlug::relay
 {
@@ -15,8 +15,8 @@
     if (std::holds_alternative<CallerGone>(event)) {
         m_callerGone = true;
         m_attempt->abort();
-        m_progress.endAttempt(core::Outcome::MayHaveRun, core::Reason::CallerGone, std::nullopt, "the caller is gone",
-                              core::now());
+        m_progress.endAttempt(core::Outcome::MayHaveRun, core::Reason::CallerGone, std::nullopt,
+                              "the caller closed its connection", core::now());
         ended = true;
         co_return Next::Done;
     }
@@ -34,7 +34,7 @@
     if (const auto *over = std::get_if<LifeOver>(&event); over != nullptr && over->attempt == current) {
         co_return leaveLife(*over->target, ended);
     }
-    co_return Next::Done; // Of an attempt that was given up.
+    co_return Next::Done; // The event belongs to an earlier, aborted attempt.
 }
 
 template<Dialect D>
@@ -61,7 +61,7 @@
         co_return afterFailure(verdict.outcome, verdict.reason, verdict.fault, detail);
     }
     if (verdict.fault && mayRepeat()) {
-        // A failure of the target itself: another one may do better. If none can be tried, this answer is passed on.
+        // The target itself failed, so another one may succeed. If none can be tried, this answer is passed on.
         if (m_progress.takeResend(true, core::Reason::TargetFailed, now)) {
             m_attempt->abort();
             ended = true;
@@ -73,7 +73,7 @@
     m_isStream = answer.isEventStream && !verdict.fault;
     m_head = std::move(head);
     if (m_headPassed && !m_isStream) {
-        m_attempt->abort(); // A stream under way cannot become another answer.
+        m_attempt->abort(); // The caller already has the head of a stream, so no other answer can follow.
         ended = true;
         co_return afterFailure(core::Outcome::MayHaveRun, core::Reason::TargetFailed, TargetFault::Garbled, detail);
     }
@@ -94,7 +94,7 @@
             m_attempt->abort();
             ended = true;
             co_return afterFailure(core::Outcome::MayHaveRun, core::Reason::StreamCut, TargetFault::Garbled,
-                                   core::cat("event ", *event->id, " after ", *m_lastEvent));
+                                   core::cat("stream event ID ", *event->id, " does not follow ", *m_lastEvent));
         }
         m_progress.answered(core::now());
         const bool passed = co_await passEvent(std::move(*event));
@@ -102,7 +102,7 @@
             m_callerGone = true;
             m_attempt->abort();
             m_progress.endAttempt(core::Outcome::MayHaveRun, core::Reason::CallerGone, std::nullopt,
-                                  "the caller does not take the answer", core::now());
+                                  "writing the answer to the caller failed", core::now());
             ended = true;
             co_return Next::Done;
         }
@@ -146,7 +146,7 @@
         const auto now = core::now();
         m_failure = unwantedNow(*m_progress.target(), now).value_or(core::Reason::TargetLeaving);
         m_progress.withhold(m_failure, now);
-        co_return Next::SendAgain; // It was sent nowhere, so this is no repeat.
+        co_return Next::SendAgain; // Nothing was sent, so this does not count as a retry.
     }
     if (end.stage == AttemptStage::Sent) {
         co_await checkForEnd(m_progress.target());
--- a/include/spurlug/relay/request_run_follow_impl.h
+++ b/include/spurlug/relay/request_run_follow_impl.h
@@ -1,10 +1,10 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: moves the bytes of one relayed request: an attempt until its target answers or is given up
+// spurlug: transfers the bytes of one relayed request: an attempt until it is answered or aborted
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
 
-#include "spurlug/relay/request_run.h" // For tools that read this file alone.
+#include "spurlug/relay/request_run.h" // Lets tools parse this file on its own.
 
 namespace spurlug::relay
 {
@@ -12,10 +12,11 @@
 namespace detail
 {
 
-/// One connection that fails may be a lost packet; checks are 0.6 s and more apart.
+/// Consecutive failed connections after which a target counts as dead: a single failure may be due to a lost packet.
+/// Checks are at least 0.6 s apart.
 inline constexpr int RefusedWhenDead = 2;
-/// A host whose process ended refuses a connection in the time of a way there and back, 1 to 3 ms; the request waits
-/// for it. Behind a cut nothing refuses, and the end would not count.
+/// A host whose process ended refuses a connection within one round trip, 1 to 3 ms; the request waits for that. During
+/// a network partition no connection is refused, so the target does not count as ended.
 inline constexpr auto EndCheckTimeout = absl::Milliseconds(50);
 
 } // namespace detail
@@ -35,7 +36,8 @@
         if (!event && now >= m_progress.deadline()) {
             m_attempt->abort();
             m_failure = core::Reason::DeadlinePassed;
-            m_progress.endAttempt(core::Outcome::MayHaveRun, m_failure, std::nullopt, "no answer by the deadline", now);
+            m_progress.endAttempt(core::Outcome::MayHaveRun, m_failure, std::nullopt,
+                                  "the target did not finish its answer by the deadline", now);
             co_return Next::Fail;
         }
         if (!event) {
@@ -65,12 +67,13 @@
                                                                                   Silence &silence)
 {
     if (m_progress.targetLives(core::now())) {
-        co_return std::nullopt; // It is slow, not gone: the same work elsewhere would make everything slower.
+        co_return std::nullopt; // The target is slow, not dead: repeating the work elsewhere would slow everything
+                                // down.
     }
     const bool reachable = co_await reaches(chosen.target);
     const auto now = core::now();
     if (m_inbox->events.size() > 0) {
-        co_return std::nullopt; // It answered in the meantime, or its life is over.
+        co_return std::nullopt; // An event arrived in the meantime: the target answered, or its incarnation ended.
     }
     silence.refusedConnections = reachable ? 0 : silence.refusedConnections + 1;
     if (reachable && now - silence.heardAt < m_progress.longestSilence(chosen, silence.answering)) {
@@ -82,14 +85,14 @@
     }
     m_attempt->abort();
     m_failure = core::Reason::TargetSilent;
-    // With helpers it is not known which of the engines is at fault, unless the target takes no connections.
+    // With helpers it is unknown which engine is at fault, unless the target accepts no connections.
     auto fault = chosen.helpers.empty() ? std::optional(TargetFault::Silent) : std::nullopt;
     if (!reachable) {
         fault = TargetFault::Unreachable;
     }
     m_watches.clear();
     m_progress.endAttempt(core::Outcome::MayHaveRun, m_failure, fault,
-                          reachable ? "silence" : "silence, and it takes no connections", now);
+                          reachable ? "silence" : "the target sent nothing and accepts no connections", now);
     co_return Next::SendAgain;
 }
 
@@ -102,13 +105,13 @@
         return std::nullopt;
     }
     if (silence.answering && m_reservations.empty()) {
-        silence.patient = true; // What the caller has of the stream is worth more than its end.
+        silence.patient = true; // Keep the stream open: the part that the caller has is worth more than an early error.
         return std::nullopt;
     }
     m_attempt->abort();
     m_failure = core::Reason::TargetSilent;
     m_progress.endAttempt(core::Outcome::MayHaveRun, m_failure, TargetFault::Unreachable,
-                          "silence, it takes no connections, and no other target can be tried", now);
+                          "the target sent nothing and accepts no connections; no other target can be tried", now);
     return Next::Fail;
 }
 
@@ -121,7 +124,7 @@
     }
     m_attempt->abort();
     return afterFailure(core::Outcome::MayHaveRun, core::Reason::LifeOver, std::nullopt,
-                        core::cat("the life of ", ended.entry.id, " is over"));
+                        core::cat("the incarnation of ", ended.entry.id, " ended"));
 }
 
 template<Dialect D>
--- a/include/spurlug/relay/request_run_impl.h
+++ b/include/spurlug/relay/request_run_impl.h
@@ -1,10 +1,10 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: moves the bytes of one relayed request: implementation
+// spurlug: transfers the bytes of one relayed request: implementation
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
 
-#include "spurlug/relay/request_run.h" // For tools that read this file alone.
+#include "spurlug/relay/request_run.h" // Lets tools parse this file on its own.
 
 namespace spurlug::relay
 {
@@ -12,16 +12,19 @@
 namespace detail
 {
 
-inline constexpr auto ChoosePause = absl::Milliseconds(10); ///< Between looks for a free target.
-inline constexpr auto LongestReservePause = absl::Milliseconds(200); ///< Requests end and free memory meanwhile.
-/// A daemon that stood still has a new proof of its configuration some ms after it runs again: a question to a reader
-/// and its answer. Without the wait one that froze for 3.5 s turned 87 callers away.
-/// One that has just started lacks its first configuration for less: without the wait 295 that were killed at once
-/// turned 340 callers away in their first 37 ms.
+inline constexpr auto ChoosePause = absl::Milliseconds(10); ///< Interval between checks for a free target.
+/// Maximum wait after a refused reservation; requests that end in that time free memory.
+inline constexpr auto LongestReservePause = absl::Milliseconds(200);
+/// Maximum wait for the configuration, or for a confirmation that it is current. A daemon whose process was suspended
+/// gets a new confirmation a few ms after it resumes, by one exchange with a directory reader; without the
+/// wait, a daemon that was suspended for 3.5 s refused 87 callers. A daemon that has just started lacks its first
+/// configuration for a shorter time; without the wait, 295 daemons that were killed at the same time refused 340
+/// callers in the first 37 ms after they started.
 inline constexpr auto KnowledgeWait = absl::Milliseconds(150);
-inline constexpr auto KnowledgeLook = absl::Milliseconds(10);
-inline constexpr auto RefusedPause = absl::Milliseconds(20); ///< Before a request goes on that a target did not begin.
-inline constexpr double HoldShare = 0.85; ///< Of the time after which unused memory must be free again.
+inline constexpr auto KnowledgeLook = absl::Milliseconds(10); ///< Interval between checks during that wait.
+/// Wait before a request is sent again after a target refused it.
+inline constexpr auto RefusedPause = absl::Milliseconds(20);
+inline constexpr double HoldShare = 0.85; ///< Share of the time after which unused memory must be free again.
 
 inline RequestFacts withContent(RequestFacts facts, const net::Request &request)
 {
@@ -102,7 +105,7 @@
     const auto outcome = m_progress.ranSomewhere() ? core::Outcome::MayHaveRun : core::Outcome::NotRun;
     if (m_headPassed) {
         m_progress.finish(outcome, m_failure, 0, core::now());
-        m_caller->reset(); // The caller must not take the events it has for the whole stream.
+        m_caller->reset(); // Shows the caller that the events it has are not the complete stream.
         co_return false;
     }
     const auto word = m_progress.lastWord(m_failure, core::now());
@@ -115,7 +118,7 @@
 {
     const bool reserved = co_await reserve(chosen);
     if (!reserved) {
-        // The memory was taken in the meantime.
+        // Other requests took the memory in the meantime.
         m_reservePause = std::min(m_reservePause * 2, core::Duration(detail::LongestReservePause));
         co_await net::sleepFor(m_reservePause);
         co_return Next::SendAgain;
@@ -126,7 +129,7 @@
         m_failure = refusal->reason;
         co_return Next::Fail;
     }
-    // So may what its target wants: memory at other engines takes time to be set aside, and one of them may end.
+    // So may the state of the targets: reserving memory takes time, and an engine may end or refuse requests meanwhile.
     if (holderEnded(chosen)) {
         m_failure = core::Reason::LifeOver;
         co_return Next::SendAgain;
@@ -168,7 +171,7 @@
             }
             continue;
         }
-        // A grant could not be used before the list of targets was read, and the request would be placed alone for it.
+        // A grant cannot be used before the list of targets is read; this daemon would then place the request alone.
         const bool listRead = m_context.targetsPosition.known() && evacuationsKnown(m_context);
         const bool asked = listRead && session.pursue(query, m_progress.priority(), now);
         if (!asked) {
@@ -279,7 +282,7 @@
         facts.priority = m_progress.enginePriority();
     }
     m_attempt = core::makeCounted<Attempt>(m_context.loop, m_inbox, m_progress.attempts());
-    // What a target says binds from the moment of the write, not from the choice.
+    // Whether a target accepts the request is checked again right before the write, not only when it is chosen.
     auto mayWrite = [target = chosen.target, helpers = chosen.helpers] {
         return !unwantedNow(*target, core::now())
             && std::none_of(helpers.begin(), helpers.end(), [](const auto &helper) { return helper->evacuated(); });
@@ -305,7 +308,7 @@
 template<Dialect D>
 net::Task<bool> RequestRun<D>::refuse(Refusal refusal)
 {
-    constexpr auto WriteTimeout = absl::Seconds(2); // The answer is small: a caller that lives takes it at once.
+    constexpr auto WriteTimeout = absl::Seconds(2); // The answer is small, so a live caller reads it at once.
     auto response = m_dialect.refusal(refusal, m_progress.facts());
     const bool written
         = co_await m_caller->write(std::move(response), keepsAlive(), core::now() + core::Duration(WriteTimeout));
--- a/include/spurlug/relay/reservation.h
+++ b/include/spurlug/relay/reservation.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: KV memory set aside at an engine
+// spurlug: KV memory reservations at engines
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -17,31 +17,37 @@
 namespace spurlug::relay
 {
 
-/// \brief Memory that is kept alive until `release`. When this daemon dies, the engine frees it by itself after `hold`.
+/// \brief A KV memory reservation that is renewed until `release`. If this daemon dies, the engine frees the memory
+/// after the hold time.
 class Reservation : public core::Counted<Reservation>
 {
 public:
-    /// \brief Takes the head of an answer to an order.
+    /// \brief Called with the head of each answer to a reserve or release request.
     using Hear = std::function<void(const net::ResponseHead &)>;
 
-    /// \param hold How long the engine keeps the memory after each reserve order.
-    /// \param hear Outlives the request: the last answer comes after its end.
+    /// \param hold How long the engine keeps the memory after each reserve request.
+    /// \param hear May be called after the end of the relayed request, so it must not refer to that.
     Reservation(net::Loop &loop, core::Address engine, std::string id, net::Request reserve, net::Request release,
                 core::Duration hold, Hear hear);
 
-    /// \brief Asks the engine for the memory and, when it is granted, keeps it.
-    /// \returns Whether it was granted. When not, or when the answer is lost, it is released.
+    /// \brief Requests the memory and, if it is granted, starts to renew the reservation.
+    /// \returns Whether it was granted. If there is no answer, the reservation is released, as the engine may have
+    /// granted it.
     [[nodiscard]] net::Task<bool> acquire(core::Time deadline);
 
-    /// \brief Gives the memory back. Safe to call more than once.
+    /// \brief Releases the memory. Safe to call more than once.
     void release();
 
     [[nodiscard]] const std::string &id() const noexcept;
 
 private:
+    /// Sends a reserve or release request to the engine.
+    /// \param problem Set if there is no answer.
     [[nodiscard]] net::Task<std::optional<net::Response>> order(net::Request order, core::Time until,
                                                                 std::string &problem);
+    /// Renews the reservation until it is released.
     [[nodiscard]] net::Task<> keep();
+    /// Sends the release request, with retries.
     [[nodiscard]] net::Task<> giveBack();
 
     net::Loop &m_loop;
--- a/include/spurlug/relay/simple_server.h
+++ b/include/spurlug/relay/simple_server.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: small HTTP services of a relaying daemon
+// spurlug: HTTP server for small internal services of a relay daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,18 +16,20 @@
 namespace spurlug::relay
 {
 
-/// \brief Answers requests at once from what the daemon has in memory: readiness, metrics, questions of peers.
+/// \brief Answers requests synchronously from data in memory: readiness, metrics, queries of peers.
 class SimpleServer
 {
 public:
+    /// \brief Returns the response to a request.
     using Handler = std::function<net::Response(const net::Request &)>;
 
-    /// \throws NetworkError when the address cannot be bound.
+    /// \throws NetworkError if the address cannot be bound.
     SimpleServer(net::Loop &loop, const core::Address &address, Handler handler);
 
-    /// \brief Begins to accept connections; the object outlives the loop's run.
+    /// \brief Starts to accept connections. The object must outlive the run of the loop.
     void start();
 
+    /// \brief The address that the server listens on.
     [[nodiscard]] const core::Address &address() const noexcept;
 
 private:
@@ -38,10 +40,11 @@
     Handler m_handler;
 };
 
-/// \brief A whole number in a query, `name=number` between `&`; nothing when there is none.
+/// \brief The integer value of a parameter in a URL query (`name=number`, separated by `&`); nothing if it is missing
+/// or not an integer.
 [[nodiscard]] std::optional<std::int64_t> queryNumber(std::string_view query, std::string_view name);
 
-/// \brief A response with a text body.
+/// \brief Creates a response with a text body.
 [[nodiscard]] net::Response textResponse(int status, std::string body, std::string_view contentType);
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/verdict.h
+++ b/include/spurlug/relay/verdict.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what a target's answer means, and whether a request is sent again
+// spurlug: evaluates answers of targets and decides whether a request may be retried
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,44 +16,44 @@
 namespace spurlug::relay
 {
 
-/// \brief What the head of an answer means for its request.
+/// \brief Result of evaluating the head of an answer.
 struct Verdict
 {
-    /// Completed: the answer may be passed on. Else how the attempt ended.
+    /// Completed if the answer may be passed on; otherwise the outcome of the attempt.
     core::Outcome outcome = core::Outcome::MayHaveRun;
     core::Reason reason = core::Reason::None;
-    std::optional<TargetFault> fault; ///< What the target did wrong.
+    std::optional<TargetFault> fault; ///< What the target did wrong, if anything.
 };
 
-/// \brief Whether an answer is to this request and of the target that it was sent to: only then does it say something
-/// of that target.
+/// \brief Whether an answer belongs to this request and comes from the expected target. Only then do its headers apply
+/// to that target.
 [[nodiscard]] bool isOwnAnswer(const AnswerFacts &answer, const std::string &requestId) noexcept;
 
-/// \brief Whether an answer turns work away for a time that the target tells.
+/// \brief Whether a target refuses requests (status 429 or 503) for a time that the answer states.
 [[nodiscard]] bool asksForCooldown(const AnswerFacts &answer) noexcept;
 
-/// \brief Judges the head of an answer. A target that asks this daemon for a cooldown does nothing wrong: nothing is
-/// held against it at the scheduler, which places for daemons that it did not ask.
+/// \brief Evaluates the head of an answer. A request for a cooldown that states that the work did not start is not a
+/// fault: no fault is reported to the scheduler, which also places requests of daemons that the target did not ask.
 [[nodiscard]] Verdict judgeAnswer(const AnswerFacts &answer, const std::string &requestId);
 
-/// \brief What is known of a request when an attempt has ended without an answer to pass on.
+/// \brief State of a request after an attempt without an answer to pass on; decides about a retry.
 struct ResendState
 {
-    bool repeatable = false; ///< Whether the work may be done twice.
-    bool ranSomewhere = false; ///< Some attempt may have run, the last one included.
-    int targets = 0; ///< Targets that it was sent to.
-    bool someRefused = false; ///< Some of them did not begin: it may go there again.
-    int attempts = 0; ///< All attempts, those without a connection included.
-    int mostTargets = 1; ///< Most targets the request may be sent to.
+    bool repeatable = false; ///< Whether the request may be processed twice.
+    bool ranSomewhere = false; ///< Any attempt, including the last one, may have been processed.
+    int targets = 0; ///< Number of targets that the request was sent to.
+    bool someRefused = false; ///< Some of them did not start processing it, so it may be sent there again.
+    int attempts = 0; ///< Number of attempts, including those without a connection.
+    int mostTargets = 1; ///< Maximum number of targets that the request may be sent to.
     core::Time deadline;
 };
 
-/// \brief Whether a request may be sent again, the fleet's bound on repeated sends not counted.
+/// \brief Whether a request may be retried, apart from the fleet-wide retry budget.
 [[nodiscard]] bool mayResend(const ResendState &state, core::Time now) noexcept;
 
-/// \brief Status of the relay's own last word on a request.
+/// \brief HTTP status of the relay's final error answer.
 ///
-/// 503 says that the request has not run and never will: it is told only when that holds for every attempt.
+/// 503 promises that the request has not run and never will, so it is used only if that is true for every attempt.
 [[nodiscard]] int finalStatus(bool ranSomewhere, core::Reason reason) noexcept;
 
 } // namespace spurlug::relay
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one sending of a request to a target
+// spurlug: one attempt to send a request to a target
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -11,9 +11,9 @@
 namespace
 {
 
-/// Pieces of an answer that may wait for a slow caller before the target is no longer read from.
+/// Maximum number of queued events for a slow caller before reading from the target pauses.
 constexpr std::size_t MostWaiting = 64;
-constexpr auto WaitForCaller = absl::Milliseconds(5);
+constexpr auto WaitForCaller = absl::Milliseconds(5); ///< Interval between checks of the queue during that pause.
 
 } // namespace
 
--- a/src/relay/event_splitter.cpp
+++ b/src/relay/event_splitter.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whole events of a stream, as they were sent
+// spurlug: splits an event stream into complete events
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Length of the first event with its blank line; npos when it is not whole.
+/// Length of the first event including its blank line; npos if it is incomplete.
 std::size_t eventLength(const std::string &buffer)
 {
     std::size_t lineStart = 0;
--- a/src/relay/request_help.cpp
+++ b/src/relay/request_help.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what a relayed request learns of the engines that help to read its prompt
+// spurlug: handles results of the engines that help to process the prompt of a relayed request
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,8 +17,8 @@
 namespace
 {
 
-/// An engine that turns a request down after this waited for one that helps it in vain; it says so at once when the
-/// helper is only busy or leaving. Engines wait 1.5 s on the users' platform.
+/// An engine that refuses a request after this time has waited for a helper in vain; it refuses at once if the helper
+/// is only busy or shutting down. Engines wait 1.5 s for a helper on the users' platform.
 constexpr auto HelperStall = absl::Milliseconds(900);
 
 } // namespace
@@ -74,7 +74,7 @@
         const auto &domain = helper->entry.failureDomain;
         helper->helpPause.accepted();
         if (!told.insert(domain).second) {
-            continue; // One engine of each domain is enough.
+            continue; // One report for each failure domain is enough.
         }
         m_context.links.reached(home, domain);
         if (m_context.scheduling != nullptr) {
--- a/src/relay/request_patience.cpp
+++ b/src/relay/request_patience.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: how long a relayed request waits for what
+// spurlug: timeouts and retry delays of a relayed request
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -15,38 +15,40 @@
 
 using core::Reason;
 
-constexpr auto RetryAfterElsewhere = absl::Milliseconds(50); // Another daemon can serve at once.
-constexpr auto RetryAfterFull = absl::Milliseconds(100); // A slot falls free several times in this time.
-/// Entries of targets that lapsed are back within 2 s of the directory's return, those of new ones sooner.
+constexpr auto RetryAfterElsewhere = absl::Milliseconds(50); // Another daemon can serve the request at once.
+constexpr auto RetryAfterFull = absl::Milliseconds(100); // Slots become free several times within this time.
+/// Expired target entries are back within 2 s after the directory recovers, entries of new targets sooner.
 constexpr auto RetryAfterNoTarget = absl::Seconds(1);
-constexpr auto RetryAfterUnknown = absl::Milliseconds(300); // A daemon reads its configuration in less.
+constexpr auto RetryAfterUnknown = absl::Milliseconds(300); // A daemon reads its configuration in less time.
 
-/// All that came while all targets cooled down comes back in this time after the first one is back, not in one moment.
-/// A target that turns the first ones away again has been met by few.
+/// Requests that were refused while all targets were cooling down are retried spread over this time after the first
+/// target accepts requests again, not all at once. If that target refuses again, only a few have reached it.
 constexpr auto ReturnSpread = absl::Seconds(1);
-/// The same for requests that wait here, which have a part of their aim left.
+/// The same for requests that wait in this daemon; shorter, as only a part of their latency objective is left.
 constexpr auto WakeSpread = absl::Milliseconds(40);
-constexpr std::int64_t Ranks = 4; // Priorities that are told apart.
+constexpr std::int64_t Ranks = 4; // Number of distinguished priorities; higher ones count as the last.
 
-/// Silence after which a target is checked, in terms of what was expected; a live one has answered by then mostly.
+/// A silent target is checked after this multiple of the expected time; most live targets have answered by then.
 constexpr double CheckFactor = 2;
-constexpr auto LeastCheckAfter = absl::Milliseconds(600); // Longer than the passes that streams bear.
-/// Silence of a target that takes connections until another one is tried: the connection may be dead though the target
-/// is not. In terms of what was expected, and of the caller's patience: the rest must do for the other target.
+constexpr auto LeastCheckAfter = absl::Milliseconds(600); // Longer than the forward passes that streams tolerate.
+/// If a target accepts connections but stays silent, another one is tried after the longer of these two times, as the
+/// connection may be dead although the target is not: a multiple of the expected time, and a share of the time until
+/// the caller abandons the request, the rest of which must be enough for the other target.
 constexpr double PatienceFactor = 4;
 constexpr double SilenceShare = 0.6;
-constexpr double GapPatienceFactor = 4; // Of the longest pause that counts as in time.
-constexpr auto LeastGapPatience = absl::Milliseconds(1400); // Callers leave a stream after two seconds of silence.
-/// A target that answered any request within this is alive: passes of a busy engine are shorter.
+constexpr double GapPatienceFactor = 4; // Multiple of the longest gap between events that meets the objective.
+constexpr auto LeastGapPatience = absl::Milliseconds(1400); // Callers abandon a stream after 2 s of silence.
+/// A target that responded to any request within this time is alive: forward passes of a busy engine are shorter.
 constexpr auto LivesWithin = absl::Milliseconds(700);
-/// Callers leave a stream, also before its first event, after the longest of these (the users' protocol).
+/// Callers abandon a stream, also before its first event, after the longest of these times (users' protocol): a fixed
+/// one, a multiple of the latency objective, and a multiple of the longest gap that meets the objective.
 constexpr auto LeastCallerPatience = absl::Seconds(2);
 constexpr double CallerPatienceAims = 4;
 constexpr double CallerPatienceGaps = 8;
-/// Part of that which a request with a long prompt waits here at most: its caller still has the time to come back.
-/// Between 0.25 and 0.75 it makes no difference to what is served.
+/// Maximum share of that time that a prompt whose stream tolerates long gaps waits in this daemon, so that its caller
+/// still has time to retry. Values between 0.25 and 0.75 make no difference to the number of served requests.
 constexpr double LooseWaitShare = 0.4;
-constexpr double PlainPatienceFactor = 2; // Of the aim; work of plain services is short.
+constexpr double PlainPatienceFactor = 2; // Multiple of the latency objective; requests to plain services are short.
 constexpr auto LeastPlainPatience = absl::Milliseconds(300);
 
 } // namespace
@@ -73,7 +75,7 @@
 
 bool RequestProgress::waitedEnough(core::Time now) const noexcept
 {
-    // A stream that the caller has begun to read, or work that may have run, is worth waiting for.
+    // If the request may have run or the caller has a part of the stream, it is worth waiting longer.
     if (m_ranSomewhere) {
         return false;
     }
@@ -196,10 +198,10 @@
         return RetryAfterNoTarget;
     case Reason::TargetsCoolingDown:
     case Reason::TargetsLimited: {
-        TargetQuery anyTarget; // The next try may go to those that this one must not go to any more.
+        TargetQuery anyTarget; // A retry may go to targets that this request must not use any more.
         anyTarget.service = m_service;
         const auto back = backAt(anyTarget, now);
-        const bool known = back && *back != absl::InfiniteFuture(); // Else other daemons may have their turn now.
+        const bool known = back && *back != absl::InfiniteFuture(); // Otherwise it may be the turn of other daemons.
         return known ? *back - now + ReturnSpread * placeInOrder() : core::Duration(RetryAfterFull);
     }
     case Reason::CrashesTargets:
@@ -207,7 +209,7 @@
     case Reason::UnknownPath:
     case Reason::MissingKey:
     case Reason::UnknownKey:
-        return absl::ZeroDuration(); // Coming back will not help.
+        return absl::ZeroDuration(); // A retry cannot succeed.
     default:
         return RetryAfterFull;
     }
--- a/src/relay/request_progress.cpp
+++ b/src/relay/request_progress.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the decisions in the life of one relayed request
+// spurlug: state and decisions of one relayed request
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -22,19 +22,20 @@
 using core::Outcome;
 using core::Reason;
 
-/// Age of the configuration up to which "there is no such route" and "there is no such key" are believed: within it a
-/// change is in force at every daemon that hears of it.
+/// Up to this age of the configuration, an unknown route or key is treated as nonexistent: a change takes effect
+/// within this time at every daemon that learns of it.
 constexpr auto CertainAge = absl::Milliseconds(2500);
-constexpr auto RefusedWhileDrainingAfter = absl::Seconds(3); // Later requests may not end before the process must.
+/// New requests are refused from then on: they might not end before the process must exit.
+constexpr auto RefusedWhileDrainingAfter = absl::Seconds(3);
 
 constexpr int MostUrgent = 0;
 constexpr int LeastUrgent = 9;
-constexpr std::int64_t LengthRanks = 3; // Ranks by length within one of the operator's.
+constexpr std::int64_t LengthRanks = 3; // Engine priorities by prompt length within one operator priority.
 constexpr std::int64_t ShortPrompt = 16'000; // Tokens.
 constexpr std::int64_t LongPrompt = 70'000; // Tokens.
 
-/// Work of other daemons is not known to one that decides alone. It is taken to be this old, so that the request
-/// considers a random seventh of the engines and daemons do not choose alike.
+/// A daemon that places prompts without a scheduler does not know the load from other daemons. It assumes that its load
+/// data has this age, so that a request considers a random seventh of the engines and daemons choose different ones.
 constexpr auto LoadAgeAlone = absl::Milliseconds(500);
 
 nlohmann::json idsOf(const std::vector<core::Ref<Target>> &targets)
@@ -71,7 +72,7 @@
     if (!m_context.table) {
         return refuse(Reason::NotReady, now);
     }
-    // One that was sent goes on: its stream may be resumed at another target until this process ends.
+    // A request that was already sent continues: its stream may be resumed at another target until this process ends.
     if (m_attempts == 0 && now - m_context.drainingSince > RefusedWhileDrainingAfter) {
         return refuse(Reason::Stopping, now);
     }
@@ -188,7 +189,7 @@
 std::optional<ChosenTargets> RequestProgress::choose(core::Time now)
 {
     if (!evacuationsKnown(m_context)) {
-        return std::nullopt; // The target may be one that must get nothing.
+        return std::nullopt; // The target might be in an evacuated failure domain.
     }
     return chooseTargets(m_context, query(now), now);
 }
@@ -442,7 +443,7 @@
 
 int RequestProgress::enginePriority() const noexcept
 {
-    // Among requests that the operator ranks alike, engines let short prompts in first: they hold a slot for less.
+    // Among requests of one operator priority, engines admit short prompts first: they occupy a slot for less time.
     const auto tokens = m_facts.prompt->promptTokens;
     const auto length = tokens < ShortPrompt ? 0 : tokens < LongPrompt ? 1 : 2;
     return static_cast<int>(std::clamp<std::int64_t>(m_priority * LengthRanks + length, MostUrgent, LeastUrgent));
--- a/src/relay/request_quarantine.cpp
+++ b/src/relay/request_quarantine.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whether a relayed request is kept from targets because it ends them
+// spurlug: quarantine of requests that crash their targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -16,8 +16,8 @@
 namespace
 {
 
-/// Trials are few for the whole fleet, so one daemon takes them: the first holder of the scheduler's role. Two daemons
-/// that disagree about that for a moment cost one more target.
+/// Only few trials are allowed in the whole fleet, so one daemon makes them: the first holder of the scheduler role. If
+/// two daemons briefly disagree about who that is, one more target may crash.
 bool takesTrials(const RelayContext &context)
 {
     const auto holders = context.roster.holders(control::Role::Scheduler, 1);
--- a/src/relay/request_repeats.cpp
+++ b/src/relay/request_repeats.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whether a relayed request is sent beyond its first time
+// spurlug: whether a relayed request is retried
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -34,12 +34,12 @@
 bool RequestProgress::takeResend(bool mayRepeat, Reason cause, core::Time now)
 {
     if (m_context.crashes.quarantined(m_digest)) {
-        return false; // The next target would end as well.
+        return false; // The next target would crash as well.
     }
     ResendState state;
     state.repeatable = mayRepeat;
     state.ranSomewhere = m_ranSomewhere;
-    state.targets = static_cast<int>(m_sentTo.size()) + (m_shares.empty() ? 0 : 1); // One in progress counts.
+    state.targets = static_cast<int>(m_sentTo.size()) + (m_shares.empty() ? 0 : 1); // An attempt in progress counts.
     state.someRefused = !m_refusedBy.empty();
     state.attempts = m_attempts;
     state.mostTargets = m_route->mostTargets;
@@ -47,7 +47,7 @@
     if (!mayResend(state, now)) {
         return false;
     }
-    // Attempts that found no connection never arrived: the next one is the first.
+    // Attempts without a connection never reached a target, so the next attempt is not a retry.
     const bool taken = state.targets == 0 || takeRepeat(cause, now);
     if (taken) {
         m_context.metrics.countRetry(cause);
--- a/src/relay/reservation.cpp
+++ b/src/relay/reservation.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: KV memory set aside at an engine
+// spurlug: KV memory reservations at engines
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -18,9 +18,9 @@
 {
 
 constexpr int Granted = core::http_status::Ok;
-constexpr double RenewShare = 0.3; // Of the hold: two renewals may be lost before the memory lapses.
+constexpr double RenewShare = 0.3; // Share of the hold time between renewals: two may be lost before it expires.
 constexpr int ReleaseTries = 3;
-constexpr auto OrderTimeout = absl::Milliseconds(400); // An engine answers an order at once or not at all.
+constexpr auto OrderTimeout = absl::Milliseconds(400); // An engine answers these requests at once or not at all.
 
 } // namespace
 
@@ -54,7 +54,7 @@
         core::log(core::LogLevel::Info, "reservation_refused",
                   {{"reservation", m_id}, {"engine", m_engine.text()}, {"status", status}, {"error", problem}});
         if (!answer) {
-            release(); // The order may have been carried out, or will be.
+            release(); // The engine may have reserved the memory, or may still do so.
         }
         m_released = true;
         co_return false;
--- a/src/relay/simple_server.cpp
+++ b/src/relay/simple_server.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: small HTTP services of a relaying daemon
+// spurlug: HTTP server for small internal services of a relay daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,7 +17,7 @@
 {
 
 constexpr auto WriteTimeout = absl::Seconds(2);
-constexpr std::size_t LargestBody = 64 << 10; // Questions are small.
+constexpr std::size_t LargestBody = 64 << 10; // Bytes. Requests to these services are small.
 
 } // namespace
 
--- a/src/relay/verdict.cpp
+++ b/src/relay/verdict.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what a target's answer means, and whether a request is sent again
+// spurlug: evaluates answers of targets and decides whether a request may be retried
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,10 +17,10 @@
 using core::Reason;
 using namespace core::http_status;
 
-constexpr int MostAttempts = 8; // Attempts that found no connection included.
-constexpr auto LeastTimeLeft = absl::Milliseconds(5); // Below this nothing can be answered any more.
+constexpr int MostAttempts = 8; // Includes attempts without a connection.
+constexpr auto LeastTimeLeft = absl::Milliseconds(5); // With less time left, no target can answer.
 
-/// Statuses that tell a caller that its request has not run and never will.
+/// Whether a status tells the caller that its request has not run and never will.
 bool promisesNotRun(int status)
 {
     return status == RequestTimeout || status == Misdirected || status == TooManyRequests || status == Unavailable;
@@ -53,7 +53,7 @@
         return {Outcome::MayHaveRun, Reason::TargetFailed, TargetFault::Garbled};
     }
     if (promisesNotRun(answer.status)) {
-        // The target says so, but without its word that it did not begin: a caller must not be promised that.
+        // The status promises it, but the header that confirms it is missing, so the caller must not be promised it.
         return {Outcome::MayHaveRun, Reason::TargetFailed, TargetFault::Error};
     }
     const auto fault
