--- a/include/spurlug/relay/backoff.h
+++ b/include/spurlug/relay/backoff.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: waits between calls to a dependency that fails
+// spurlug: exponential backoff for calls to a failing dependency
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -11,7 +11,7 @@
 namespace spurlug::relay
 {
 
-/// \brief Doubles the wait with each failure in a row, with jitter.
+/// \brief Exponential backoff with jitter that doubles with each consecutive failure.
 class Backoff
 {
 public:
@@ -26,7 +26,8 @@
         m_next = m_first;
     }
 
-    /// \param jitter A random number from 0 to 1: daemons that lost the same dependency must not come back as one.
+    /// \param jitter A random number from 0 to 1, so that daemons which lost the same dependency do not retry at the
+    /// same time.
     /// \returns How long to wait before the next call.
     [[nodiscard]] core::Duration failed(double jitter) noexcept
     {
--- a/include/spurlug/relay/cold_start.h
+++ b/include/spurlug/relay/cold_start.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the time in which a target is slow
+// spurlug: warm-up period of a target
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -12,12 +12,12 @@
 namespace spurlug::relay
 {
 
-/// \brief The time in which a life of a target is slow, after its start or at any later moment.
+/// \brief Period in which an incarnation of a target is slow, after its start or at any later time.
 class ColdStart
 {
 public:
-    /// \brief Notes that it is cold until a moment. An earlier word that tells a later one stays in force: both end
-    /// within seconds.
+    /// \brief Notes that the target is warming up until a given time. An earlier notice with a later end stays in
+    /// force; both ends are within seconds of each other.
     void note(core::Time until) noexcept
     {
         m_until = std::max(m_until, until);
@@ -33,7 +33,7 @@
         return m_until;
     }
 
-    /// \brief What it takes from the fleet meanwhile.
+    /// \brief Rate that the target accepts from the whole fleet while it is warming up.
     [[nodiscard]] static FleetRate rate(double perSecond) noexcept
     {
         return {perSecond, absl::Seconds(1)};
--- a/include/spurlug/relay/crash_ledger.h
+++ b/include/spurlug/relay/crash_ledger.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which requests end the targets that run them
+// spurlug: detection and quarantine of requests that crash their targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,87 +16,91 @@
 namespace spurlug::relay
 {
 
-/// \brief A life of a target that ended while a request ran there.
+/// \brief An incarnation of a target that crashed while a request ran there.
 struct TargetEnd
 {
-    std::uint32_t target = 0; ///< lifeHash of that life.
+    std::uint32_t target = 0; ///< lifeHash of the incarnation.
     core::Time at;
 };
 
-/// \brief A piece of work and the targets that ended under it.
+/// \brief A request content and the targets that crashed while running it.
 struct CrashSuspect
 {
-    core::Digest work; ///< As RequestProgress::digest.
-    std::vector<TargetEnd> ends{}; ///< Those that count: not refuted by `ranWellAt`.
-    core::Time ranWellAt = absl::InfinitePast(); ///< When it ran to an end last and its target lived.
-    std::size_t mostEnds = 0; ///< Most ends that this daemon ever knew of at once.
+    core::Digest work; ///< Content digest as in RequestProgress::digest.
+    std::vector<TargetEnd> ends{}; ///< Crashes that count, that is, not refuted by `ranWellAt`.
+    core::Time ranWellAt = absl::InfinitePast(); ///< When it last completed while its target stayed alive.
+    std::size_t mostEnds = 0; ///< Largest number of crashes that this daemon ever knew at once.
 
     [[nodiscard]] core::Time lastEndAt() const noexcept;
 };
 
-/// \brief Counts the targets that ended under each piece of work, and quarantines work that ended several.
+/// \brief Counts the targets that crashed while running each request content and quarantines content with
+/// several crashes.
 ///
-/// A request that crashes its target takes everything with it that runs there, and its caller sends it again under
-/// another id, to any daemon. So work is told apart by its content, and what daemons know is a set of facts, which life
-/// ended under which work, and when the work last ran well: words between them may come twice, late or in any order,
-/// and the sum is the same.
+/// A request that crashes its target takes down all requests running there, and its caller resends it under another id
+/// to any daemon. Requests are therefore identified by their content. Daemons share a set of facts: which incarnation
+/// crashed under which content, and when the content last completed. Messages about them may be duplicated, late or
+/// reordered without changing the result.
 ///
-/// A target ends with all requests that run there. What keeps innocent work out: only ends count, no broken connections
-/// (the caller makes sure of that); three of them are needed, and a request with its caller's second try sees four
-/// targets at most; and work that ran well refutes the ends known of it and those of some seconds after, wherever it
-/// did: what many callers ask is at all targets of a rack that is lost, and runs well a moment before.
+/// A crash of a target affects all requests that run there. Three rules keep harmless requests out of quarantine. Only
+/// crashes count, not broken connections (ensured by the caller). Three crashes are needed, while a request including
+/// its caller's second try reaches at most four targets. A completed run refutes the known crashes and those of the
+/// following seconds on any target: popular content runs on all targets of a rack that is lost, and completed shortly
+/// before.
 class CrashLedger
 {
 public:
-    /// Ends until work is quarantined. A rack that is lost ends one target under most of its requests, two under some;
-    /// 64 of 264 requests beside the crashing ones of an incident lost two engines, none of them three.
+    /// Number of crashes that puts content into quarantine. The loss of a rack ends one target under most of its
+    /// requests and two under some: in one incident 64 of 264 requests beside the crashing ones lost two engines, and
+    /// none lost three.
     static constexpr std::size_t EndsToQuarantine = 3;
-    /// From the last end until quarantined work is tried again, by one daemon; doubles with each further end. Engines
-    /// are mended by releases, which take minutes.
+    /// Time from the last crash until one daemon tries quarantined content again; doubles with each further crash.
+    /// Engines are fixed by releases, which take minutes.
     static constexpr auto FirstTrialAfter = absl::Seconds(60);
-    /// Work is forgotten this long after the last end under it.
+    /// Content is forgotten this long after its last crash or completed run.
     static constexpr auto Memory = absl::Hours(1);
-    /// Work that ran well within this time before a target ended did not end it. Copies of popular work come more
-    /// often, and a new version of an engine that some work ends is out for longer.
+    /// Content that completed within this time before a target crashed did not cause the crash. Popular content recurs
+    /// more often than this, and a new engine version that some content crashes stays down for longer.
     static constexpr auto SurvivalSpan = absl::Seconds(10);
-    static constexpr std::size_t MostSuspects = 256; ///< Some 50 KB.
-    static constexpr std::size_t MostEnds = 16; ///< Kept of one piece of work; further ones change nothing.
+    static constexpr std::size_t MostSuspects = 256; ///< About 50 KB.
+    static constexpr std::size_t MostEnds = 16; ///< Crashes kept for one content; further ones have no effect.
 
     CrashLedger();
 
     /// \name Commands
     /// @{
 
-    /// \brief Notes that a target ended while work ran there.
-    /// \returns Whether that is news that counts.
+    /// \brief Records that a target crashed while a request with this content ran there.
+    /// \returns Whether the crash is new and counts.
     bool targetEnded(const core::Digest &work, std::uint32_t target, core::Time now);
-    /// \brief Notes that work ran to an end and its target lives.
-    /// \returns Whether that refuted ends.
+    /// \brief Records that a request with this content completed and its target is alive.
+    /// \returns Whether that refuted any crashes.
     bool survived(const core::Digest &work, core::Time now);
-    /// \brief What came of another daemon's word.
+    /// \brief Result of merging the facts of another daemon.
     struct Merged
     {
-        bool news = false; ///< Some of it was not known.
-        bool refuted = false; ///< This daemon knows better: the work ran well here. The others must be told.
+        bool news = false; ///< Some facts were unknown before.
+        bool refuted
+            = false; ///< The content completed here, which refutes reported crashes; other daemons must be told.
     };
 
-    /// \brief Takes what another daemon knows of one piece of work.
+    /// \brief Merges what another daemon knows about one request content.
     Merged merge(const CrashSuspect &told, core::Time now);
-    /// \brief Takes the next trial of quarantined work, if it is due.
+    /// \brief Starts the next trial of quarantined content if it is due.
     [[nodiscard]] bool takeTrial(const core::Digest &work, core::Time now);
-    /// \brief Work of which something changed since the last call.
+    /// \brief Entries that changed since the last call.
     [[nodiscard]] std::vector<CrashSuspect> takeChanges();
 
     /// @}
     /// \name Queries
     /// @{
 
-    /// \brief Whether the work must not be sent to a target.
+    /// \brief Whether requests with this content must not be sent to any target.
     [[nodiscard]] bool quarantined(const core::Digest &work) const;
-    /// \brief Ends that count against the work.
+    /// \brief Number of crashes that count against the content.
     [[nodiscard]] std::size_t ends(const core::Digest &work) const;
-    /// \brief Quarantined work, and other work whose last end is younger than `span`; in a random order.
-    /// \param pick A random number.
+    /// \brief Quarantined content, and other content with a crash or a completed run within `span`. A random selection
+    /// if there are more than the given number.
     [[nodiscard]] std::vector<CrashSuspect> recent(core::Duration span, std::size_t most, std::uint64_t pick,
                                                    core::Time now) const;
     [[nodiscard]] std::size_t size() const noexcept
@@ -113,7 +117,8 @@
         core::Time triedAt = absl::InfinitePast();
     };
 
-    /// When some work ran well last. Work that shares a slot with newer work is forgotten: popular work is back soon.
+    /// Last completed run of a content. An entry is overwritten by newer content with the same index; popular content
+    /// is soon recorded again.
     struct Survival
     {
         core::Digest work;
@@ -121,14 +126,14 @@
     };
 
     [[nodiscard]] CrashSuspect &suspect(const core::Digest &work, core::Time now);
-    /// When work ran well here last.
+    /// When the content last completed here.
     [[nodiscard]] core::Time ranWellHere(const core::Digest &work) const;
     void forgetOld(core::Time now);
     void makeRoom();
 
     std::map<core::Digest, Known> m_suspects;
     std::set<core::Digest> m_changed;
-    std::vector<Survival> m_survivals; ///< By digest, modulo its size.
+    std::vector<Survival> m_survivals; ///< Indexed by digest modulo its size.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/domain_links.h
+++ b/include/spurlug/relay/domain_links.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which failure domains reach each other, by what requests met
+// spurlug: reachability between failure domains, derived from the outcome of requests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -15,35 +15,34 @@
 namespace spurlug::relay
 {
 
-/// \brief Remembers between which failure domains connections fail.
+/// \brief Tracks between which failure domains connections fail.
 ///
-/// Answers the pattern in which a failure domain is cut off: the list of targets names its engines for some seconds
-/// more, each of them would be found out alone, and a prompt with fifteen helpers meets one refusal a try. Two
-/// different targets that cannot be reached between two domains, and none that can, are taken for a link that is down;
-/// it counts in both directions. Three of four days with a cut of 5 to 6 s lost 2 to 3 % of their credit so before.
-/// Knows no socket.
+/// When a failure domain is partitioned, the target list still names its engines for some seconds. Each of them would
+/// have to be detected alone, and a prompt with fifteen helpers would meet one refusal per try. The link between two
+/// domains is therefore considered down, in both directions, once two different targets could not be reached across it
+/// and no connection has succeeded since. Before this, three of four days with partitions of 5 to 6 s lost 2 to 3 % of
+/// their credit. The class does no network I/O.
 class DomainLinks
 {
 public:
     /// \name Commands
     /// @{
 
-    /// \brief Notes that something in one domain could not reach a target in another.
-    /// \param target Hash of its life.
+    /// \brief Records that a daemon or engine in one domain could not reach a target in another.
+    /// \param target Hash of the target incarnation.
     void failed(const std::string &from, const std::string &to, std::uint32_t target, core::Time now);
-    /// \brief Notes that something in one domain reached something in another.
+    /// \brief Records that a connection between two domains succeeded.
     void reached(const std::string &from, const std::string &to);
 
     /// @}
 
-    /// \brief Whether nothing in one domain is expected to reach anything in the other. Never true of a domain and
-    /// itself.
+    /// \brief Whether the link between two domains is considered down. Never true for a domain and itself.
     [[nodiscard]] bool parted(const std::string &from, const std::string &to, core::Time now) const;
 
 private:
     struct Failures
     {
-        std::vector<std::uint32_t> targets; ///< Different ones, since something was reached.
+        std::vector<std::uint32_t> targets; ///< Distinct targets that failed since the last success.
         core::Time lastAt = absl::InfinitePast();
     };
     using Pair = std::pair<std::string, std::string>;
--- a/include/spurlug/relay/engine_estimate.h
+++ b/include/spurlug/relay/engine_estimate.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what an engine would do with a prompt, or a part of one, beside the work it has
+// spurlug: estimates of how an engine would process a prompt, or a part of one, beside its current work
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -16,8 +16,8 @@
 
 //----------------------------------------------------------------------------------------------------------------------
 
-/// \brief Estimates for the candidates of one prompt, by the engines' published costs. Candidates go by their index;
-/// times are in ms.
+/// \brief Estimates for the candidates of one prompt, based on the engines' published costs. Candidates are identified
+/// by index; times are in ms.
 class EngineEstimate
 {
 public:
@@ -28,43 +28,43 @@
     [[nodiscard]] std::size_t size() const noexcept;
     [[nodiscard]] const Candidate &at(std::size_t candidate) const noexcept;
 
-    /// \brief Whether a candidate holds tight streams or is kept for them.
+    /// \brief Whether a candidate has streams that tolerate only short gaps, or is reserved for them.
     [[nodiscard]] bool servesTight(std::size_t candidate) const noexcept;
-    /// \brief Whether a slot is free for one request more.
+    /// \brief Whether the engine may answer and has a free slot.
     [[nodiscard]] bool hasSlot(std::size_t candidate) const noexcept;
-    /// \brief Whether it takes one part more of a prompt of another engine.
+    /// \brief Whether the engine accepts one more prefill part for another engine.
     [[nodiscard]] bool takesPart(std::size_t candidate) const noexcept;
-    /// \brief KV memory that is not given out, tokens; below 0 when too much was.
+    /// \brief Unreserved KV memory, tokens; below 0 if too much was reserved.
     [[nodiscard]] std::int64_t freeMemory(std::size_t candidate) const noexcept;
-    /// \brief Whether the prompt and its answer fit into the free memory.
+    /// \brief Whether the prompt and its answer fit into the unreserved KV memory.
     [[nodiscard]] bool holdsPrompt(std::size_t candidate) const noexcept;
 
-    /// \brief Reading that waits there.
+    /// \brief Time of the prefill that is queued at the engine.
     [[nodiscard]] double aheadMs(std::size_t candidate) const noexcept;
-    /// \brief Time until it has read a part behind what is there.
+    /// \brief Time until the engine has prefilled a part after its current work.
     [[nodiscard]] double finishMs(std::size_t candidate, double part) const noexcept;
-    /// \brief Time until all of them have.
+    /// \brief Time until the target and all helpers have prefilled their parts.
     [[nodiscard]] double finishMs(std::size_t target, const std::vector<std::size_t> &helpers,
                                   double part) const noexcept;
-    /// \brief Time until a slot falls free where all are taken: answers end one after the other.
+    /// \brief Time until a slot becomes free if all are taken, given that answers end one after the other.
     [[nodiscard]] double slotWaitMs(std::size_t candidate) const noexcept;
-    /// \brief Delay of the streams there beyond what they bear when it reads a part more: a pass lasts until its
-    /// reading is done.
+    /// \brief Weighted delay beyond the tolerated gaps of the engine's streams if it prefills one more part: a batch
+    /// pass lasts until its prefill is done.
     [[nodiscard]] double harmMs(std::size_t candidate, double part) const noexcept;
-    /// \brief Whether the streams there stay in time when it reads a part more. Where there are none, a pass may be
-    /// of any length, but little may wait for it.
+    /// \brief Whether the engine's streams stay within their tolerated gaps if it prefills one more part. An engine
+    /// without streams accepts parts of any length, but only if little prefill is queued there.
     [[nodiscard]] bool staysCalm(std::size_t candidate, double part) const noexcept;
-    /// \brief Cost of the way to it, and a little that differs by request: daemons that see the same loads must not all
-    /// choose alike.
+    /// \brief Cost of reaching the engine, plus jitter that differs by request, so that daemons which see the same
+    /// loads choose differently.
     [[nodiscard]] double wayMs(std::size_t candidate) const noexcept;
-    /// \brief Whether a request considers an engine to answer it. The older the loads, the more daemons choose by the
-    /// same ones; so each request considers a random part of the engines, and the best one of it.
+    /// \brief Whether the engine is among the random subset that the request considers. The older the known loads, the
+    /// more daemons choose by the same ones and the smaller the subset.
     [[nodiscard]] bool considered(std::size_t candidate) const noexcept;
-    /// \brief Cost of reading a part there.
+    /// \brief Total cost of prefilling a part at the engine.
     [[nodiscard]] double readingCost(std::size_t candidate, double part) const noexcept;
 
 private:
-    /// Longest pass that keeps streams in time which bear such pauses.
+    /// Longest batch pass that keeps streams with the given tolerated gap in time.
     [[nodiscard]] double longestPassMs(core::Duration pause) const noexcept;
 
     const config::EngineCosts &m_costs;
@@ -76,17 +76,17 @@
 
 //----------------------------------------------------------------------------------------------------------------------
 
-/// \brief A prompt whose stream bears short pauses only: at one engine, or a few, where its first event comes soonest
-/// and others of its kind are.
+/// \brief Places a prompt whose stream tolerates only short gaps on one engine or a few, where its first event comes
+/// soonest and preferably where other such streams are.
 [[nodiscard]] std::optional<Placement> placeTight(const config::EngineCosts &costs, const PromptRequest &request,
                                                   const EngineEstimate &engines, const PlacementRule &rule);
 
-/// \brief A prompt whose stream bears longer pauses: evenly over all engines whose streams stay in time, so that no
-/// pass is long anywhere.
+/// \brief Places a prompt of a stream that tolerates longer gaps evenly on all engines whose streams stay in time, so
+/// that no batch pass becomes long anywhere.
 ///
-/// It is kept waiting (nothing is returned) while it could not be in time at the engines that are free for it, or, if
-/// it is late anyway, while it would hold few of them for long. A prompt that no engine can hold lies in the memory of
-/// several.
+/// Returns std::nullopt to keep the prompt waiting while it would miss its TTFT objective at the engines that are free
+/// for it, or, if it is late anyway, while it would occupy few of them for long. The KV memory of a prompt that fits no
+/// single engine is divided among several.
 [[nodiscard]] std::optional<Placement> placeSpread(const config::EngineCosts &costs, const PromptRequest &request,
                                                    const EngineEstimate &engines, const PlacementRule &rule);
 
--- a/include/spurlug/relay/evacuations.h
+++ b/include/spurlug/relay/evacuations.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: failure domains that the operator asks to be left alone
+// spurlug: failure domains that the operator evacuates
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,23 +16,23 @@
 
 struct RelayContext;
 
-/// \brief Failure domains whose targets must get nothing new, as of a position of the directory.
+/// \brief Failure domains whose targets must get no new work, as of a directory position.
 struct Evacuations
 {
     DirectoryPosition position;
     std::set<std::string> domains;
 };
 
-/// \brief Takes what the directory or a peer says, unless it is older than what is known. The last word holds while
-/// none can be had.
-/// \param from Where it came from, for logs.
+/// \brief Applies the state reported by the directory or a peer unless it is older than the known one. The last known
+/// state stays in force while no newer one is available.
+/// \param from Source of the state, for logging.
 void takeEvacuations(RelayContext &context, const Evacuations &told, std::string_view from, core::Time now);
 
-/// \brief Takes a list of a new era of the directory. An evacuation that was lost with the old one is written again:
-/// until it can have been, what was evacuated stays so, and the next list of the directory replaces this one.
+/// \brief Applies the list of a new directory era. Evacuations that were lost with the old era are written again; until
+/// they can have been, the known ones stay in force, and the directory's next list replaces this one.
 void takeRestoredEvacuations(RelayContext &context, Evacuations told, core::Time now);
 
-/// \brief Whether requests may be sent: it is known which failure domains must get nothing.
+/// \brief Whether the evacuated failure domains are known, so that requests may be sent.
 [[nodiscard]] bool evacuationsKnown(const RelayContext &context) noexcept;
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/fleet_rate.h
+++ b/include/spurlug/relay/fleet_rate.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a rate of requests to one target that all daemons keep together without asking each other
+// spurlug: rate limiting of a target across all daemons without coordination messages
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,66 +14,69 @@
 namespace spurlug::relay
 {
 
-/// \brief When this daemon gave a target requests of late.
+/// \brief Times at which this daemon recently sent requests to a target.
 class RecentSends
 {
 public:
     static constexpr auto Remembered = absl::Seconds(4);
 
     void add(core::Time now);
-    /// \brief Requests within a span that ends now, `Remembered` at most.
+    /// \brief Number of requests in a span of at most `Remembered` that ends now.
     [[nodiscard]] std::int64_t within(core::Duration span, core::Time now) const;
 
 private:
     std::deque<core::Time> m_sends; ///< Oldest first.
 };
 
-/// \brief What a target takes from the whole fleet.
+/// \brief Request rate that a target accepts from the whole fleet.
 struct FleetRate
 {
     double perSecond = 0;
-    core::Duration span = absl::Seconds(1); ///< The rate holds for any such span; `RecentSends::Remembered` at most.
+    /// The rate holds in any span of this length, at most `RecentSends::Remembered`.
+    core::Duration span = absl::Seconds(1);
 };
 
-/// \brief Who gives requests to such a target.
+/// \brief Role in which a daemon sends requests to a rate-limited target.
 enum class RateGiver
 {
-    Scheduler, ///< It places the prompts of all daemons. Three may do so for a moment: two of the fleet and one at
-               ///< home.
-    Alone, ///< One of all daemons, for a service that has schedulers.
-    Everybody, ///< One of all daemons, for a service that has none.
+    /// Places the prompts of all daemons. Three schedulers may be active for a moment: two of the fleet and one of the
+    /// local domain.
+    Scheduler,
+    Alone, ///< A daemon that decides without a scheduler, for a service that has schedulers.
+    Everybody, ///< A daemon that decides for itself, for a service without schedulers.
 };
 
-/// \brief One daemon's part of the rates of targets.
+/// \brief This daemon's share of the rate limits of targets.
 ///
-/// The parts of all givers add up to about the rate, so that the operator's margin is left for requests that cross on
-/// the way. A scheduler counts what it placed. A daemon that decides for itself gets turns, spread over time by its
-/// name and the target: their number follows from the rate and the size of the fleet, whoever lives or is heard, and a
-/// turn that is not taken within `TurnLife` is lost, so that no burst can use up what was saved.
+/// The shares of all senders add up to about the rate, which leaves the operator's margin to requests that cross in
+/// transit. A scheduler counts its own placements. A daemon that decides for itself gets permits, spread over
+/// time by a hash of its VM name and the target. Their number depends only on the rate and the size of the fleet, not
+/// on which daemons are alive or heard. A permit that is not used within `TurnLife` expires, so that unused permits
+/// cannot accumulate into a burst.
 class RateShare
 {
 public:
     static constexpr auto TurnLife = absl::Seconds(1);
 
-    /// \param target Hash of its life.
+    /// \param target Hash of the target incarnation.
     RateShare(RateGiver giver, const FleetKnowledge &fleet, std::string_view vm, std::uint32_t target);
 
-    /// \brief Whether the target may be given one more request now.
-    /// \param sends What this daemon gave it.
+    /// \brief Whether the target may get one more request now.
+    /// \param sends Requests that this daemon sent to the target.
     [[nodiscard]] bool takesOne(const FleetRate &rate, const RecentSends &sends, core::Time now) const;
 
-    /// \brief When a daemon that decides for itself has its next turn; in the infinite future: it has none.
+    /// \brief When a daemon that decides for itself gets its next permit; InfiniteFuture if it gets none.
     [[nodiscard]] core::Time nextTurn(const FleetRate &rate, core::Time now) const;
 
 private:
-    /// Turns a second.
+    /// Permits per second.
     [[nodiscard]] double turnRate(const FleetRate &rate) const;
-    /// Turns that have begun by a moment, with a fraction; counted from any one moment.
+    /// Number of permits issued until a time, including a fraction, counted from a fixed epoch.
     [[nodiscard]] double turnsBy(double turnRate, core::Time at) const;
 
     RateGiver m_giver;
-    double m_share; ///< Of all daemons that decide for themselves.
-    double m_phase; ///< 0 to 1.
+    double m_share; ///< Share of this daemon among all daemons that decide for themselves.
+    double m_phase; ///< Phase offset of the permits, 0 to 1.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/placement.h
+++ b/include/spurlug/relay/placement.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: where a request runs, and which engines help to read its prompt
+// spurlug: placement of requests on targets, and of prefill parts on helper engines
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -17,28 +17,30 @@
 namespace spurlug::relay
 {
 
-/// \brief A target as the choice sees it.
+/// \brief A target as seen by the placement algorithms.
 struct Candidate
 {
-    Outstanding load; ///< Work of all daemons there, as far as it is known.
+    Outstanding load; ///< Known work of all daemons at the target.
     int slots = 1;
-    bool atHome = false; ///< In this daemon's failure domain.
+    bool atHome = false; ///< Whether it is in the local failure domain.
     bool mayAnswer = true; ///< Whether it may get the request itself.
-    bool mayHelp = true; ///< Whether it may read a part for another one.
-    bool tightOnly = false; ///< Kept free of long prompts.
+    bool mayHelp = true; ///< Whether it may prefill a part for another target.
+    bool tightOnly = false; ///< Reserved for streams that tolerate only short gaps; kept free of long prompts.
 };
 
-/// \brief What the choice needs to know of a prompt.
+/// \brief A prompt with the constraints on its placement.
 struct PromptRequest
 {
     PromptFacts prompt;
-    core::Duration aim; ///< Time to the first event that counts as in time.
-    bool tight = true; ///< Whether its stream bears short pauses only.
-    bool mayQueue = false; ///< Whether it may queue for a slot, if it is tight: it has waited here long enough.
-    core::Duration waited = absl::ZeroDuration(); ///< Since it arrived.
-    core::Duration patience = absl::InfiniteDuration(); ///< From its arrival until its caller is likely to leave.
-    config::ShortestPauses pauses; ///< Of the streams at the engines.
-    core::Duration loadAge = absl::ZeroDuration(); ///< How old the known loads of other daemons are.
+    core::Duration aim; ///< TTFT objective: time to the first event that counts as in time.
+    bool tight = true; ///< Whether its stream tolerates only short gaps between events.
+    /// Whether a request that tolerates only short gaps has waited here long enough to queue for a slot.
+    bool mayQueue = false;
+    core::Duration waited = absl::ZeroDuration(); ///< Time since its arrival.
+    /// Caller timeout: from its arrival until its caller is likely to disconnect.
+    core::Duration patience = absl::InfiniteDuration();
+    config::ShortestPauses pauses; ///< Shortest gaps that the streams at the engines tolerate.
+    core::Duration loadAge = absl::ZeroDuration(); ///< Age of the known loads of other daemons.
 };
 
 using settings::PlacementRule;
@@ -50,38 +52,39 @@
     std::int64_t tokens = 0;
 };
 
-/// \brief Where a request goes; numbers are indices of candidates.
+/// \brief Result of a placement; numbers are indices of candidates.
 struct Placement
 {
     std::size_t target = 0;
-    std::vector<std::size_t> helpers; ///< Holders first, then those that only read.
-    std::vector<Holding> holdings; ///< At the first helpers, in order; for a prompt beyond the target's own memory.
-    core::Duration expected; ///< Until the first event.
-    core::Duration partRead; ///< Time that each of the engines reads.
+    std::vector<std::size_t> helpers; ///< Engines that hold KV memory come first, then those that only prefill.
+    /// At the first helpers, in order; for a prompt that exceeds the target's own KV memory.
+    std::vector<Holding> holdings;
+    core::Duration expected; ///< Expected time until the first event.
+    core::Duration partRead; ///< Expected prefill time of each engine's part.
 };
 
-/// \brief Length of a pass of an engine, reading not counted, ms; 0 when nothing generates there.
+/// \brief Duration of one batch pass of an engine without prefill, ms; 0 if no request generates there.
 [[nodiscard]] double passMs(const config::EngineCosts &costs, const Outstanding &load) noexcept;
 
-/// \brief Time to read one of `parts` even parts of a prompt, ms. Each has its share of the pairs of the whole prompt.
+/// \brief Time to prefill one of `parts` equal parts of a prompt, ms. The attention cost of the whole prompt is divided
+/// evenly among the parts.
 [[nodiscard]] double partMs(const config::EngineCosts &costs, std::int64_t promptTokens, std::size_t parts) noexcept;
 
-/// \brief Engines to be kept for tight streams: enough for those there are.
+/// \brief Number of engines to reserve for streams that tolerate only short gaps, given their current number.
 [[nodiscard]] std::size_t enginesForTight(const std::vector<Outstanding> &loads, int slots,
                                           const PlacementRule &rule) noexcept;
 
-/// \brief Spreads choices: a number from 0 to 1 that differs by candidate and request.
+/// \brief Pseudo-random number from 0 to 1 by candidate and request, to spread choices.
 [[nodiscard]] double choiceJitter(std::uint64_t pick, std::size_t candidate) noexcept;
 
-/// \brief Chooses engines for a prompt.
-/// \param pick A random number: daemons that see the same loads must not all choose alike.
-/// \returns Nothing when no engine has a slot and memory for it.
+/// \brief Chooses engines for a prompt. The random number makes daemons that see the same loads choose differently.
+/// \returns std::nullopt if no engine has a slot and KV memory for the prompt, or if the prompt should wait.
 [[nodiscard]] std::optional<Placement> placePrompt(const config::EngineCosts &costs, const PromptRequest &request,
                                                    const std::vector<Candidate> &candidates, const PlacementRule &rule,
                                                    std::uint64_t pick);
 
 /// \brief Chooses a target of a plain service.
-/// \returns Nothing when all are full.
+/// \returns std::nullopt if all targets are full.
 [[nodiscard]] std::optional<Placement> placePlain(const std::vector<Candidate> &candidates, const PlacementRule &rule,
                                                   std::uint64_t pick);
 
--- a/include/spurlug/relay/rate_limit.h
+++ b/include/spurlug/relay/rate_limit.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the request rate that a target says it takes from the whole fleet
+// spurlug: request rate that a target accepts from the whole fleet
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -12,26 +12,26 @@
 namespace spurlug::relay
 {
 
-/// \brief What a life of a target said last of the requests a second that it takes from all daemons together.
+/// \brief Latest limit that an incarnation of a target announced for the requests of all daemons together.
 class RateLimit
 {
 public:
-    /// \brief Takes what was said at a moment; what was said earlier than the known word changes nothing.
-    /// \param perSecond Nothing: there is no limit.
+    /// \brief Applies a notice. Notices older than the latest one are ignored.
+    /// \param perSecond std::nullopt if there is no limit.
     /// \returns Whether the limit changed.
     bool take(std::optional<double> perSecond, core::Time saidAt) noexcept;
 
-    /// \brief Requests a second; nothing: there is no limit.
+    /// \brief Requests per second; std::nullopt if there is no limit.
     [[nodiscard]] std::optional<double> perSecond() const noexcept
     {
         return m_perSecond;
     }
 
-    /// \brief What it takes from the fleet, where there is a limit: one request in four seconds at the least, as only
-    /// an answer tells that a limit has ended.
+    /// \brief The limit as a fleet rate, at least one request in four seconds, because only a response can tell that
+    /// the limit was lifted.
     [[nodiscard]] FleetRate rate() const noexcept;
 
-    /// \brief When it was said; in the infinite past when nothing ever was.
+    /// \brief Time of the latest notice; InfinitePast if there was none.
     [[nodiscard]] core::Time saidAt() const noexcept
     {
         return m_saidAt;
--- a/include/spurlug/relay/retry_ledger.h
+++ b/include/spurlug/relay/retry_ledger.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: this daemon's part of the fleet's bound on repeated sends
+// spurlug: this daemon's share of the fleet-wide retry budget
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -15,75 +15,75 @@
 namespace spurlug::relay
 {
 
-/// \brief The bound that all daemons together keep for each service.
+/// \brief Fleet-wide limit on retries of each service.
 struct RetryBound
 {
-    double ratio = 0.2; ///< Repeated sends for each request.
-    core::Duration window = absl::Seconds(10); ///< Any span of this length counts.
-    double slack = 100; ///< Repeated sends beyond the ratio.
-    /// Part of the ratio that a daemon spends for the requests of its own last window. In any window all daemons then
-    /// spend for the requests of two windows at most, wherever their callers were meanwhile, and the bound counts the
-    /// larger one.
+    double ratio = 0.2; ///< Retries per request.
+    core::Duration window = absl::Seconds(10); ///< The limit applies to any time window of this length.
+    double slack = 100; ///< Retries allowed in addition to the ratio.
+    /// Fraction of the ratio that a daemon may spend on the requests of its own last window. In any window, all daemons
+    /// together then spend for at most the requests of two windows, even if callers moved between daemons, and the
+    /// limit counts the larger of the two.
     double margin = 0.5;
 };
 
-/// \brief What a repeated send is charged to.
+/// \brief What a retry is charged to.
 enum class RepeatCharge
 {
-    Ratio, ///< This daemon's own requests.
-    Slack, ///< Its part of the fleet's slack.
-    Refused, ///< Its part of both is spent.
+    Ratio, ///< The ratio of this daemon's own requests.
+    Slack, ///< This daemon's share of the fleet's slack.
+    Refused, ///< Both are used up; the retry is refused.
 };
 
-/// \brief What a daemon knows of its fleet.
+/// \brief What a daemon knows about its fleet.
 struct FleetKnowledge
 {
-    /// Most daemons of its failure domain that it, or any of them that it heard, ever knew of at once.
+    /// Largest number of daemons in its failure domain that it, or any daemon that it heard, ever knew at once.
     std::size_t largest = 1;
-    bool hearsOthers = false; ///< Whether it hears any other daemon now.
+    bool hearsOthers = false; ///< Whether it currently hears any other daemon.
     bool hasOthers = false; ///< Whether its settings name other daemons.
-    core::Duration life = absl::ZeroDuration(); ///< Since it started.
-    std::size_t domains = 1; ///< Failure domains of the fleet, whether heard or not.
+    core::Duration life = absl::ZeroDuration(); ///< Time since it started.
+    std::size_t domains = 1; ///< Number of failure domains of the fleet, whether heard or not.
 };
 
-/// \brief Part of the fleet's slack that one daemon may spend in a window.
+/// \brief Fraction of the fleet's slack that one daemon may spend in a window.
 ///
-/// Each failure domain has the same part of the slack, whoever hears it: cuts between domains leave the sum as it is,
-/// and a daemon needs to know its own domain only. Nobody tells it how large that is, and what it spent in an earlier
-/// life is forgotten. So one that has just started, or hears nobody, spends nothing; until it has lived for a window it
-/// spends a small part of what it may spend later. Learning takes 3 s of a life, so a window of 10 s sees three young
-/// ones at most. A domain that falls into two sides from its start spends twice its part; one such domain is allowed
-/// for.
+/// Each failure domain has the same fraction of the slack whether it is heard or not, so partitions between domains do
+/// not change the sum, and a daemon needs to know only the size of its own domain. A daemon learns that size after its
+/// start and does not remember what it spent before a restart. It therefore spends nothing right after its start or
+/// while it hears no other daemon, and only a small fraction until it has run for a whole window. Learning takes 3 s
+/// after each start, so a window of 10 s contains at most three such young incarnations of one daemon. A domain that is
+/// partitioned from its start spends twice its fraction; one such domain is allowed for.
 [[nodiscard]] double slackShare(const FleetKnowledge &fleet, core::Duration window) noexcept;
 
-/// \brief Requests and repeated sends of one daemon within a window.
+/// \brief Requests and retries of one daemon within a window.
 struct RepeatUse
 {
     std::size_t requests = 0;
     std::size_t repeats = 0;
 };
 
-/// \brief Counts requests and repeated sends of each service over a sliding window.
+/// \brief Counts requests and retries of each service over a sliding window.
 ///
-/// A daemon spends `margin` x `ratio` x its own requests + its part of the slack: summed over all daemons that is
-/// within the bound, without a message between them.
+/// A daemon may spend `margin` x `ratio` x its own requests + its fraction of the slack. The sum over all daemons stays
+/// within the limit without messages between them.
 class RetryLedger
 {
 public:
     explicit RetryLedger(RetryBound bound);
 
-    /// \brief Notes a caller's request.
+    /// \brief Records a request of a caller.
     void request(const std::string &service, core::Time now);
 
-    /// \brief Takes one repeated send.
-    /// \param slackShare Part of the fleet's slack that this daemon may spend, 0 to 1.
+    /// \brief Charges one retry if the budget allows it.
+    /// \param slackShare Fraction of the fleet's slack that this daemon may spend, 0 to 1.
     [[nodiscard]] RepeatCharge take(const std::string &service, double slackShare, core::Time now);
 
     [[nodiscard]] const RetryBound &bound() const noexcept
     {
         return m_bound;
     }
-    /// \brief What this daemon counts of a service within the window.
+    /// \brief This daemon's requests and retries of a service within the window.
     [[nodiscard]] RepeatUse use(const std::string &service, core::Time now);
 
 private:
--- a/include/spurlug/relay/target_choice.h
+++ b/include/spurlug/relay/target_choice.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the choice among the targets that are known, by the work that is known there
+// spurlug: choice of the targets for a request, based on the known load of each
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,42 +16,43 @@
 namespace spurlug::relay
 {
 
-/// \brief A chosen target and the engines that help it.
+/// \brief A chosen target and the engines that prefill parts of the prompt for it.
 struct ChosenTargets
 {
     core::Ref<Target> target;
-    std::vector<core::Ref<Target>> helpers; ///< Those that hold memory first.
-    std::vector<std::int64_t> holdingTokens; ///< Of the first helpers.
-    core::Duration expected; ///< Until the first event.
-    core::Duration partRead; ///< Time that each engine reads.
+    std::vector<core::Ref<Target>> helpers; ///< Engines that also hold KV memory for the prompt come first.
+    std::vector<std::int64_t> holdingTokens; ///< KV memory tokens held by each of the first helpers, in order.
+    core::Duration expected; ///< Expected time until the first event.
+    core::Duration partRead; ///< Expected prefill time of each engine's part.
 };
 
-/// \brief What a request asks of its target.
+/// \brief What a request requires of its target.
 struct TargetQuery
 {
     std::string service;
-    std::optional<PromptRequest> prompt; ///< Of a request to a model engine.
-    std::vector<std::uint32_t> notAt; ///< Hashes of targets that must not answer it.
-    std::optional<std::vector<std::uint32_t>> onlyAt; ///< If set, only these may.
-    /// Hashes of targets that must get nothing from the daemon that sends the request, no help for it either.
+    std::optional<PromptRequest> prompt; ///< Set for requests to a model engine.
+    std::vector<std::uint32_t> notAt; ///< Hashes of targets that must not answer the request.
+    std::optional<std::vector<std::uint32_t>> onlyAt; ///< If set, only targets with these hashes may answer it.
+    /// Hashes of targets to which the requesting daemon must send nothing, not even a prefill part.
     std::vector<std::uint32_t> unwanted;
-    bool atHome = false; ///< Only targets of this failure domain, if there are any.
-    bool forFleet = false; ///< Whether the choice is a scheduler's, which places the prompts of all daemons.
-    std::string from; ///< Failure domain of the daemon that sends the request; empty: this one's.
-    /// Helpers in the failure domain of the engine that answers only: another one was refused for this request.
+    bool atHome = false; ///< Restricts the choice to the local failure domain if it has targets.
+    bool forFleet = false; ///< True if a scheduler chooses on behalf of all daemons.
+    std::string from; ///< Failure domain of the requesting daemon; empty means this daemon's.
+    /// Restricts helpers to the failure domain of the answering engine. Set after a helper was refused for this
+    /// request.
     bool nearHelpers = false;
 };
 
-/// \brief Whether a tight request that has waited this long may queue at an engine instead of here: a refusal after it
-/// would come too late to be made up for.
+/// \brief Whether a request that tolerates only short gaps and has waited this long may queue at an engine instead of
+/// in the daemon: a refusal after such a wait would come too late to be made up for.
 [[nodiscard]] bool mayQueueAfter(core::Duration waited, core::Duration aim) noexcept;
 
-/// \brief Chooses targets with what this daemon knows now.
-/// \returns Nothing when none is free for the request.
+/// \brief Chooses targets by what this daemon currently knows.
+/// \returns std::nullopt if no target is free for the request.
 [[nodiscard]] std::optional<ChosenTargets> chooseTargets(RelayContext &context, const TargetQuery &query,
                                                          core::Time now);
 
-/// \brief What a prompt adds to the work of the engines chosen for it; the one that answers comes last.
+/// \brief The work that a prompt adds to each chosen engine; the engine that answers comes last.
 [[nodiscard]] std::vector<std::pair<core::Ref<Target>, Outstanding>> workOf(const ChosenTargets &chosen,
                                                                             const PromptFacts &prompt);
 
--- a/include/spurlug/relay/target_health.h
+++ b/include/spurlug/relay/target_health.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whether a target is left out for a while because it fails
+// spurlug: ejection of failing targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -12,55 +12,57 @@
 namespace spurlug::relay
 {
 
-/// \brief What a target did wrong.
+/// \brief How a target failed.
 enum class TargetFault
 {
-    Unreachable, ///< No connection.
-    Silent, ///< No answer in the time that others take several times over.
+    Unreachable, ///< No connection could be established.
+    Silent, ///< No answer within several times the usual response time.
     Broken, ///< The connection failed after the request was sent.
-    Garbled, ///< Bytes that are no answer to the request.
-    Error, ///< An answer that says the target failed.
-    Busy, ///< It did not begin the work.
+    Garbled, ///< The received bytes are not a valid response to the request.
+    Error, ///< The response reports a failure of the target.
+    Busy, ///< The target did not start the work.
 };
 
-/// \brief When a failing target is left out, and for how long.
+/// \brief Parameters of the ejection of failing targets.
 struct EjectionRule
 {
-    /// Weight of the newest result in the running share of failures: about the last eight results count.
+    /// Weight of the newest result in the moving average of failures; about the last eight results count.
     double weight = 0.13;
-    double errorShare
-        = 0.45; ///< Share of failures that ejects; plain services may fail one in seven when they are well.
-    int inARow = 3; ///< Failures in a row that eject, whatever the share.
-    core::Duration first = absl::Milliseconds(1500); ///< Doubles with each ejection in a row.
+    /// Share of failures above which a target is ejected. Healthy plain services may fail one request in seven.
+    double errorShare = 0.45;
+    int inARow = 3; ///< Consecutive failures after which a target is ejected whatever the share.
+    /// Duration of the first ejection; doubles with each consecutive one.
+    core::Duration first = absl::Milliseconds(1500);
     core::Duration longest = absl::Seconds(8);
 };
 
-/// \brief Running record of one target's results: a pure state machine.
+/// \brief Results of one target as a state machine without I/O.
 class TargetHealth
 {
 public:
     void succeeded(core::Time now) noexcept;
     void failed(TargetFault fault, const EjectionRule &rule, core::Time now) noexcept;
 
-    /// \brief Whether the target is left out now.
+    /// \brief Whether the target is ejected now.
     [[nodiscard]] bool ejected(core::Time now) const noexcept
     {
         return now < m_ejectedUntil;
     }
 
-    /// \brief Whether it was ejected because it could not be reached or kept silent, and has not answered since.
+    /// \brief Whether the last ejection was due to a failed connection or a timeout and the target has not answered
+    /// since.
     [[nodiscard]] bool unreachable() const noexcept
     {
         return m_unreachable && onProbation();
     }
 
-    /// \brief Whether it was ejected and has not answered since: it gets one request at a time.
+    /// \brief Whether the target was ejected and has not answered since. It then gets one request at a time.
     [[nodiscard]] bool onProbation() const noexcept
     {
         return m_ejections > 0;
     }
 
-    /// \brief Running share of failures, 0 to 1.
+    /// \brief Moving average of failures, 0 to 1.
     [[nodiscard]] double failureShare() const noexcept
     {
         return m_share;
@@ -72,7 +74,7 @@
     double m_share = 0;
     int m_inARow = 0;
     int m_ejections = 0;
-    bool m_unreachable = false; ///< Why it was ejected last.
+    bool m_unreachable = false; ///< Whether the last ejection was due to a failed connection or a timeout.
     core::Time m_ejectedUntil = absl::InfinitePast();
 };
 
--- a/include/spurlug/relay/target_life.h
+++ b/include/spurlug/relay/target_life.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which life of a target is meant
+// spurlug: identity of one incarnation of a target
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -10,18 +10,19 @@
 namespace spurlug::relay
 {
 
-/// \brief One life of a target, from a start of its process to its end. A target may start again under its id; it then
-/// holds nothing of before, so whatever is believed of a target is believed of one life.
+/// \brief One incarnation of a target, from the start of its process to its end. A target may restart under the same id
+/// and then has no earlier state, so all knowledge about a target refers to one incarnation.
 struct TargetLife
 {
     std::string id;
-    std::int64_t startMs = 0; ///< Unix time of the start by the target's own clock, ms; 0: the directory does not tell.
+    /// Unix time of the start by the target's own clock, ms; 0 if the directory does not report it.
+    std::int64_t startMs = 0;
 
     [[nodiscard]] bool operator==(const TargetLife &) const = default;
 };
 
-/// \brief Number of a life in messages between daemons: no daemon applies to one life what another one said of an
-/// earlier one. Of a life without a start it is targets::targetHash of the id.
+/// \brief Identifies an incarnation in messages between daemons, so that a statement about an earlier incarnation is
+/// not applied to a later one. Without a start time it equals targets::targetHash of the id.
 [[nodiscard]] std::uint32_t lifeHash(const TargetLife &life) noexcept;
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/target_log.h
+++ b/include/spurlug/relay/target_log.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the latest changes of the list of targets, for daemons that follow this one
+// spurlug: log of recent changes to the target list for daemons that follow this one
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,27 +16,27 @@
 namespace spurlug::relay
 {
 
-/// \brief Changes of the list of targets by the directory's position up to which they go. A follower that asks for what
-/// came since its own position gets a few entries instead of the whole list.
+/// \brief Changes to the target list, each batch with the directory position that it leads to. A follower asks for the
+/// changes since its own position and gets a few entries instead of the whole list.
 class TargetLog
 {
 public:
-    /// \brief Forgets all changes: the whole list was read as of a position.
+    /// \brief Clears the log after the whole list was read at a position.
     void restart(const DirectoryPosition &position);
-    /// \brief Adds the changes up to a position.
+    /// \brief Appends the changes up to a position.
     void add(const DirectoryPosition &position, std::vector<TargetChange> changes);
 
-    /// \brief Position of the newest change or list.
+    /// \brief Position of the newest change or full list.
     [[nodiscard]] const DirectoryPosition &newest() const noexcept
     {
         return m_newest;
     }
 
-    /// \brief All changes after a position; nothing when the log does not reach back to it.
+    /// \brief All changes after a position; std::nullopt if the log does not reach back to it.
     [[nodiscard]] std::optional<std::vector<TargetChange>> since(const DirectoryPosition &position) const;
 
 private:
-    static constexpr std::size_t MostBatches = 256; ///< Some minutes of a release.
+    static constexpr std::size_t MostBatches = 256; ///< Covers some minutes of a release.
 
     std::deque<std::pair<DirectoryPosition, std::vector<TargetChange>>> m_batches; ///< Oldest first.
     DirectoryPosition m_reachesBackTo;
--- a/include/spurlug/relay/target_notice.h
+++ b/include/spurlug/relay/target_notice.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what targets say of themselves beside their answers
+// spurlug: processing of the notices that targets attach to their responses
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -19,43 +19,43 @@
 namespace spurlug::relay
 {
 
-/// \brief Takes what the head of an answer says of its target. The caller has checked that the answer is the target's
-/// own: not one to another request. An answer of whoever has the address now says that the target's life is over.
-/// \param request Id of the request or the reservation that it answers, for the log.
+/// \brief Processes the notices in the head of a target's response. The caller has checked that the response belongs to
+/// this request. A response from another target at the same address ends the target's incarnation.
+/// \param request Id of the answered request or reservation, for logging.
 void takeTargetNotice(RelayContext &context, Target &target, const AnswerFacts &answer, std::string_view request,
                       core::Time now);
 
-/// \brief Notes that a target is slow for a while: its entry, an answer or its return from an evacuation says so.
-/// \param from Who said it, for the log.
+/// \brief Notes that a target is warming up for a while, as announced by its entry or a response, or assumed when its
+/// evacuation ends.
+/// \param from Source of the notice, for logging.
 void noteCold(RelayContext &context, Target &target, core::Duration span, std::string_view from, core::Time now);
 
-/// \brief Notes which request rate a target takes from the whole fleet.
-/// \param perSecond Nothing: it has no limit any more.
-/// \param from Who said it, for the log.
+/// \brief Notes the request rate that a target accepts from the whole fleet.
+/// \param perSecond std::nullopt if the limit was lifted.
+/// \param from Source of the notice, for logging.
 void noteRateLimit(Target &target, std::optional<double> perSecond, core::Time saidAt, std::string_view from);
 
-/// \brief Notes that a target has no limit any more, where its answer names none. An answer to a request that was sent
-/// before the limit was named says nothing of it.
+/// \brief Lifts the limit of a target whose response names none. Responses to requests that were sent before the limit
+/// was announced are ignored.
 void noteUnlimited(Target &target, const AnswerFacts &answer, core::Time requestSentAt, core::Time now);
 
-/// \brief Takes what a peer tells of the rates that targets take.
+/// \brief Applies the rate limits of targets that a peer reported.
 void takeRateNews(RelayContext &context, const std::vector<targets::RateNews> &news, std::string_view peer,
                   core::Time now);
 
-/// \brief Rates that peers should be told of: limits, and those that ended of late.
-/// \returns `most` of them at most, what was said last first.
+/// \brief Rate limits to report to peers, including those that were lifted recently.
+/// \returns At most the given number of entries, newest first.
 [[nodiscard]] std::vector<targets::RateNews> rateNews(const RelayContext &context, std::size_t most, core::Time now);
 
-/// \brief Notes that a life of a target is over; whoever waits for it lets go.
-/// \param proof What showed it, for the log.
+/// \brief Marks the incarnation of a target as ended and notifies its watchers.
+/// \param proof What showed that it ended, for logging.
 void endLife(RelayContext &context, Target &target, std::string_view proof);
 
-/// \brief Takes what a peer tells of targets that leave.
-/// \param leaving Hashes of their lives.
+/// \brief Processes a peer's report of targets that are shutting down, given by the hashes of their incarnations.
 void takeLeavingNews(RelayContext &context, const std::vector<std::uint32_t> &leaving, std::string_view peer);
 
-/// \brief Targets of which peers should be told that they leave: their entries do not say so yet.
-/// \returns `most` of them at most, drawn anew each time.
+/// \brief Hashes of targets to report to peers as shutting down because their entries do not say so yet.
+/// \returns At most the given number of entries, a new random selection on each call.
 [[nodiscard]] std::vector<std::uint32_t> leavingNews(RelayContext &context, std::size_t most);
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/target_set.h
+++ b/include/spurlug/relay/target_set.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the targets, the work that this daemon and its peers have at each, and how they fare
+// spurlug: known targets with their health and the work that this daemon and its peers have at each
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -32,17 +32,17 @@
 /// \brief Whether a hash is among these.
 [[nodiscard]] bool contains(const std::vector<std::uint32_t> &hashes, std::uint32_t hash) noexcept;
 
-/// \brief What the directory says of a target.
+/// \brief Directory entry of a target.
 struct TargetEntry
 {
-    std::string id; ///< Several lives of the target may bear it, one after the other.
+    std::string id; ///< Successive incarnations of the target may share the same id.
     std::string service;
     core::Address address;
     std::string failureDomain;
-    int slots = 1; ///< Requests that run at once.
-    bool draining = false; ///< Whether the entry says that it leaves: it ends soon and must get nothing new.
-    core::Duration cold = absl::ZeroDuration(); ///< How much longer it is slow, when the entry was written.
-    std::int64_t startMs = 0; ///< Of this life, as TargetLife::startMs.
+    int slots = 1; ///< Maximum number of concurrent requests.
+    bool draining = false; ///< True if the entry announces that the target shuts down soon and must get no new work.
+    core::Duration cold = absl::ZeroDuration(); ///< Remaining warm-up time when the entry was written.
+    std::int64_t startMs = 0; ///< Start of this incarnation, see TargetLife::startMs.
 
     [[nodiscard]] TargetLife life() const
     {
@@ -53,8 +53,8 @@
 using targets::Outstanding;
 using targets::TargetWork;
 
-/// \brief How long a target that turned something down is not asked again: the pause doubles with each refusal in a
-/// row, up to a longest one.
+/// \brief Exponential backoff for a target that refused something: doubles with each consecutive refusal up to a
+/// maximum.
 class RefusalPause
 {
 public:
@@ -63,15 +63,15 @@
         , m_longest(longest)
     { }
 
-    /// \brief Notes that it turned something down, or could not be reached by the engine that asked it.
+    /// \brief Notes that the target refused, or that the engine which asked it could not reach it.
     void refused(core::Time now) noexcept;
-    /// \brief Notes that it did what it was asked for.
+    /// \brief Notes that the target did what it was asked to do.
     void accepted() noexcept
     {
         m_inARow = 0;
     }
 
-    /// \brief Whether it is not asked now.
+    /// \brief Whether the target must not be asked now.
     [[nodiscard]] bool lasts(core::Time now) const noexcept
     {
         return now < m_until;
@@ -86,13 +86,13 @@
 
 class Target;
 
-/// \brief Has its owner told at once when a life of a target is over, for as long as the object lives.
+/// \brief Registers a callback that runs as soon as an incarnation of a target has ended. Destruction unregisters it.
 class LifeWatch : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
 {
 public:
     using Tell = std::function<void(const core::Ref<Target> &)>;
 
-    /// \param tell Called once at most; at once when the life is over already.
+    /// \brief The callback is called at most once, and immediately if the incarnation has ended already.
     LifeWatch(const core::Ref<Target> &target, Tell tell);
     LifeWatch(const LifeWatch &) = delete;
     LifeWatch &operator=(const LifeWatch &) = delete;
@@ -102,32 +102,32 @@
     Tell m_tell;
 };
 
-/// \brief One piece of this daemon's work at a target, for as long as the object lives.
+/// \brief RAII registration of one unit of this daemon's work at a target.
 class Share : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
 {
 public:
     enum class Kind
     {
         Request, ///< The target answers the request.
-        Part, ///< The target reads a part of a prompt for another one.
+        Part, ///< The target prefills a part of a prompt for another target.
     };
 
-    /// \param work What the share adds to the target's work while its prompt is not read.
-    /// \param expected When reading should end; what is left of it shrinks towards that time.
-    /// \param tight Whether the request bears short pauses only.
-    /// \param engines How many read the prompt, each an even part.
+    /// \brief Adds work to the target's load. Until its prompt is prefilled, the remaining prefill time shrinks towards
+    /// the time at which prefill should be done. The flag says whether the stream of the request tolerates only short
+    /// gaps between events.
+    /// \param engines Number of engines that prefill equal parts of the prompt.
     Share(core::Ref<Target> target, Kind kind, const Outstanding &work, core::Time sentAt, core::Time expected,
           bool tight, std::size_t engines = 1);
     Share(const Share &) = delete;
     Share &operator=(const Share &) = delete;
 
-    /// \brief Notes that the prompt was read: the request generates now, parts are done.
+    /// \brief Notes that prefill is done: a request now generates, a part is complete.
     void promptRead() noexcept;
 
     [[nodiscard]] Outstanding work(core::Time now) const noexcept;
     [[nodiscard]] const core::Ref<Target> &target() const noexcept;
     [[nodiscard]] core::Time sentAt() const noexcept;
-    /// \brief When reading should end; in the infinite past once it has.
+    /// \brief When prefill should be done; InfinitePast once it is.
     [[nodiscard]] core::Time readingDueAt() const noexcept;
 
 private:
@@ -141,9 +141,8 @@
     bool m_reading = true;
 };
 
-/// \brief Work of another daemon at a target, as it was told, for as long as the object lives. What is left of the
-/// reading shrinks towards the time at which it should be done: reports are some hundred ms apart, and a part of a
-/// prompt takes as long.
+/// \brief RAII registration of the work that another daemon reported for a target. The remaining prefill time shrinks
+/// towards its due time, because reports are several hundred ms apart and prefill of a part takes about as long.
 class PeerShare : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
 {
 public:
@@ -159,72 +158,77 @@
     core::Time m_dueAt;
 };
 
-/// \brief One life of a target as this daemon knows it. Used on the loop's thread only.
+/// \brief One incarnation of a target as known to this daemon. Must only be used on the event loop thread.
 class Target : public core::Counted<Target>
 {
 public:
     explicit Target(TargetEntry entry);
 
     TargetEntry entry;
-    const std::uint32_t hash; ///< lifeHash of its life.
+    const std::uint32_t hash; ///< lifeHash of this incarnation.
     TargetHealth health;
-    core::Time heardAt = absl::InfinitePast(); ///< When bytes of any answer came from it last.
-    RefusalPause helpPause; ///< After it turned help or a reservation down.
-    RefusalPause fullPause; ///< After it turned a request down without asking for a cooldown.
-    core::Time reportedUntil = absl::InfinitePast(); ///< A peer cannot reach it: others are preferred until this.
-    core::Time dropAt = absl::InfiniteFuture(); ///< Its entry is gone; it gets nothing after this.
-    /// A copy of the directory lists it though it was gone: it gets nothing until it writes its entry, or this.
+    core::Time heardAt = absl::InfinitePast(); ///< When response bytes last arrived from it.
+    RefusalPause helpPause; ///< Backoff after it refused a prefill part or a KV memory reservation.
+    RefusalPause fullPause; ///< Backoff after it refused a request without asking for a cooldown.
+    /// A peer cannot reach the target; others are preferred until then.
+    core::Time reportedUntil = absl::InfinitePast();
+    /// The directory entry is gone; the target gets no new work after this.
+    core::Time dropAt = absl::InfiniteFuture();
+    /// Set when a restored directory lists the target although its entry was gone: it gets no work until it rewrites
+    /// its entry or until this time.
     core::Time doubtedUntil = absl::InfinitePast();
     ColdStart coldStart;
     RateLimit rateLimit;
-    RecentSends recentSends; ///< Of this daemon, and as a scheduler of all that it placed here.
-    std::string fault; ///< Why its newest entry cannot be used; empty: it can.
+    RecentSends recentSends; ///< Sends by this daemon and, on a scheduler, all placements at this target.
+    std::string fault; ///< Why the newest entry is invalid; empty if it is valid.
 
-    /// \brief Whether the operator asks that its failure domain gets nothing new.
+    /// \brief Whether the operator evacuates its failure domain, so that the target must get no new work.
     [[nodiscard]] bool evacuated() const noexcept
     {
         return m_evacuated;
     }
 
-    /// \brief Whether it leaves: its entry, an answer of its own or a peer said so. Holds for the rest of this life,
-    /// whatever entries say later: one that lapsed may be written again, and lists may be old.
+    /// \brief Whether the target is shutting down, as announced by its entry, by one of its responses or by a peer.
+    /// This stays true for the rest of the incarnation whatever later entries say: an expired entry may be rewritten,
+    /// and target lists may be stale.
     [[nodiscard]] bool leaving() const noexcept
     {
         return m_leaving;
     }
 
-    /// \brief Whether this life is over: a later one was heard of, under its id or at its address. What it had of any
-    /// request is gone. Entries that go prove nothing: they lapse, and some targets serve on without one.
+    /// \brief Whether this incarnation has ended because a later one appeared under its id or at its address. All state
+    /// that it had of requests is lost. A removed entry proves nothing: entries expire, and some targets keep serving
+    /// without one.
     [[nodiscard]] bool over() const noexcept
     {
         return m_over;
     }
 
-    /// \brief The time in which it wants nothing from this daemon.
+    /// \brief The cooldown during which the target wants no requests from this daemon.
     [[nodiscard]] const targets::Cooldown &cooldown() const noexcept
     {
         return m_cooldown;
     }
 
-    /// \brief Work of this daemon here.
+    /// \brief Work of this daemon at this target.
     [[nodiscard]] Outstanding own(core::Time now) const noexcept;
 
-    /// \brief When all reading of this daemon here should be done.
+    /// \brief When all prefill of this daemon at this target should be done.
     [[nodiscard]] core::Time ownDueAt() const noexcept;
 
-    /// \brief Work of other daemons here, as they told it.
+    /// \brief Work of other daemons at this target, as reported by them.
     [[nodiscard]] Outstanding peers(core::Time now) const noexcept;
 
-    /// \brief Work of all daemons here, as far as it is known.
+    /// \brief Known work of all daemons at this target.
     [[nodiscard]] Outstanding load(core::Time now) const noexcept;
 
-    /// \brief Whether it serves, as far as the directory goes.
+    /// \brief Whether the target is in service according to the directory.
     [[nodiscard]] bool serves(core::Time now) const noexcept
     {
         return !m_leaving && fault.empty() && now < dropAt && now >= doubtedUntil;
     }
 
-    /// \brief Whether it may get new work, as far as the directory goes.
+    /// \brief Whether the target may get new work according to the directory.
     [[nodiscard]] bool listed(core::Time now) const noexcept
     {
         return !m_evacuated && serves(now);
@@ -248,19 +252,19 @@
     targets::Cooldown m_cooldown;
 };
 
-/// \brief Why a target must get nothing from this daemon now; nothing: it may.
+/// \brief Why this daemon must send nothing to a target now; std::nullopt if it may.
 [[nodiscard]] std::optional<core::Reason> unwantedNow(const Target &target, core::Time now) noexcept;
 
-/// \brief What an entry was to the set of targets.
+/// \brief Effect of a directory entry on the target set.
 enum class EntryNews
 {
-    Added, ///< Its id was not known.
-    Updated, ///< Of the life that is known.
-    Restarted, ///< A later life under a known id: nothing that was believed of the earlier one holds for it.
-    Outdated, ///< Of an earlier life than the known one: nothing was taken.
+    Added, ///< The id was unknown.
+    Updated, ///< The entry belongs to the known incarnation.
+    Restarted, ///< A later incarnation under a known id; state of the earlier one does not apply to it.
+    Outdated, ///< The entry belongs to an earlier incarnation and was ignored.
 };
 
-/// \brief The newest known life of each target. Used on the loop's thread only.
+/// \brief The latest known incarnation of each target. Must only be used on the event loop thread.
 class TargetSet
 {
 public:
@@ -269,59 +273,60 @@
     /// \name Commands
     /// @{
 
-    /// \brief Adds a target or takes what is new of it.
+    /// \brief Adds a target or updates a known one.
     EntryNews put(const TargetEntry &entry);
-    /// \brief Notes that a life is over, and has those who wait for it told. It gets nothing more, as one that leaves.
-    /// \returns Whether that was not known.
+    /// \brief Marks an incarnation as ended and notifies its watchers. Like a target that shuts down, it gets no new
+    /// work.
+    /// \returns True if it was not marked before.
     bool end(Target &target);
-    /// \brief Notes that a target said that it leaves.
-    /// \returns Whether that was not known.
+    /// \brief Notes that a target announced its shutdown.
+    /// \returns True if that was not known before.
     bool noteLeaving(Target &target);
-    /// \brief Notes that peers were told so of these lives.
-    /// \returns Targets of which it was not known, for the log.
+    /// \brief Notes that peers reported these incarnations as shutting down.
+    /// \returns Targets for which that is new, for logging.
     Targets noteLeaving(const std::vector<std::uint32_t> &hashes);
-    /// \brief Notes which failure domains must get nothing new.
+    /// \brief Sets the failure domains that must get no new work.
     void evacuate(const std::set<std::string> &failureDomains);
-    /// \brief Notes that a target wants nothing from this daemon for a while.
+    /// \brief Notes that a target asked this daemon to send nothing for a while.
     void noteCooldown(Target &target, core::Duration span, core::Time now);
-    /// \brief Notes that a target's entry is gone; it gets nothing new from `dropAt` on.
+    /// \brief Notes that a target's entry is gone; the target gets no new work after `dropAt`.
     void drop(const std::string &id, core::Time dropAt);
-    /// \brief Notes that a target's newest entry cannot be used: it gets nothing before it has a good one again.
+    /// \brief Notes that a target's newest entry is invalid; the target gets no work until it has a valid one.
     void withdraw(const std::string &id, const std::string &fault);
-    /// \brief Forgets targets that are gone and have no work of this daemon.
+    /// \brief Removes targets whose entries are gone and which have no work of this daemon.
     void forgetGone(core::Time now);
-    /// \brief Takes a peer's own work at all targets, in place of what it said before.
+    /// \brief Replaces the work that a peer reported for all targets.
     void peerWork(const std::string &peer, const std::vector<TargetWork> &works, core::Time now);
-    /// \brief Forgets the work of a peer that is not heard any more.
+    /// \brief Removes the work of a peer that is no longer heard.
     void forgetPeer(const std::string &peer);
 
-    /// \brief Takes a peer's report of targets that do not answer it. A peer that can reach few targets is itself cut
-    /// off, so its report says nothing of them.
-    /// \returns Targets that no peer had reported before, for the log.
+    /// \brief Processes a peer's report of targets that do not answer it. A report that covers too large a share of all
+    /// targets is ignored, because the peer itself is then assumed to be cut off.
+    /// \returns Targets that had no current report before, for logging.
     Targets peerReport(const std::vector<std::uint32_t> &unreachable, core::Time now);
 
     /// @}
     /// \name Queries
     /// @{
 
-    /// \brief Targets of a service that may get new work.
+    /// \brief Targets of a service that may get new work, ordered by id.
     [[nodiscard]] Targets listed(const std::string &service, core::Time now) const;
-    /// \brief Whether a service has targets that serve, all of them in evacuated failure domains.
+    /// \brief Whether a service has targets in service, all of them in evacuated failure domains.
     [[nodiscard]] bool allEvacuated(const std::string &service, core::Time now) const;
-    /// \brief The target with an id; null when there is none.
+    /// \brief The target with an id; null if there is none.
     [[nodiscard]] core::Ref<Target> find(const std::string &id) const;
-    /// \brief The target whose life has this hash; null when there is none, or when it is over.
+    /// \brief The target whose latest incarnation has this hash; null if there is none.
     [[nodiscard]] core::Ref<Target> withHash(std::uint32_t hash) const;
-    /// \brief The target at an address; null when there is none.
+    /// \brief The target at an address that may get new work; null if there is none.
     [[nodiscard]] core::Ref<Target> at(const core::Address &address, core::Time now) const;
-    /// \brief Work of this daemon at each target where it has some.
+    /// \brief Work of this daemon at each target that has some.
     [[nodiscard]] std::vector<TargetWork> ownWork(core::Time now) const;
-    /// \brief Hashes of targets that must get nothing from this daemon, though a scheduler may not know it: those that
-    /// asked it for a cooldown, and those that leave though their entries do not say so.
+    /// \brief Hashes of targets to which this daemon must send nothing although a scheduler may not know it: targets in
+    /// a cooldown for this daemon, and targets that shut down without their entries saying so.
     [[nodiscard]] std::vector<std::uint32_t> unwantedHere(core::Time now) const;
-    /// \brief Hashes of targets that leave and whose entries do not say so yet: those that peers may not know of.
+    /// \brief Hashes of targets that shut down while their entries do not say so, of which peers may be unaware.
     [[nodiscard]] std::vector<std::uint32_t> leavingUnlisted() const;
-    /// \brief Whether some target has named a rate that it takes.
+    /// \brief Whether any target has announced a rate limit.
     [[nodiscard]] bool someLimited() const noexcept;
     /// \brief Hashes of targets that do not answer this daemon.
     [[nodiscard]] std::vector<std::uint32_t> unreachable(core::Time now) const;
@@ -330,15 +335,16 @@
     /// @}
 
 private:
-    /// Adds a target to those that leave though their entries do not say so, or takes it from them.
+    /// Updates the membership of a target in `m_leavingUnlisted`.
     void sortByLeaving(Target &target);
 
     std::unordered_map<std::string, core::Ref<Target>> m_targets;
     std::set<std::string> m_evacuated; ///< Failure domains.
     std::unordered_map<std::uint32_t, core::Ref<Target>> m_byHash;
-    Targets m_coolingDown; ///< Those in a cooldown; the ones whose time is over go with the next.
-    Targets m_leavingUnlisted; ///< Targets that leave though their entries do not say so.
-    /// What each peer said last. Holds the targets themselves: one that is forgotten and comes back begins at nothing.
+    Targets m_coolingDown; ///< Targets in a cooldown; expired ones are removed with the next addition.
+    Targets m_leavingUnlisted; ///< Targets that shut down although their entries do not say so.
+    /// Latest report of each peer. Entries refer to the target objects, so a target that is removed and added again
+    /// starts without peer work.
     std::unordered_map<std::string, std::vector<std::unique_ptr<PeerShare>>> m_peerWorks;
 };
 
--- a/include/spurlug/settings/placement_rule.h
+++ b/include/spurlug/settings/placement_rule.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: weights of the choice of targets
+// spurlug: weights for the choice of targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -11,47 +11,54 @@
 namespace spurlug::settings
 {
 
-/// \brief Weights of the choice; costs are in ms of delay. docs/ROUTING.md explains them; the ranges in which they make
-/// no difference stand in docs/BENANGJAYA.md.
+/// \brief Weights for the choice of targets. Costs are in ms of delay. docs/ROUTING.md explains the weights;
+/// docs/BENANGJAYA.md lists the ranges in which they make no difference.
 struct PlacementRule
 {
-    /// Streams whose longest pause is below this are tight: a long prompt read beside them makes them late. It only
-    /// parts the pauses of the routes in two kinds.
+    /// Streams whose maximum gap between events is below this tolerate only short gaps ("tight"): prefilling a long
+    /// prompt beside them makes them late. The value only divides the gaps of the routes into two kinds.
     core::Duration tightGap = absl::Milliseconds(400);
-    /// Part of the shortest pause of an engine's streams that a pass may take: loads are known a little late.
+    /// Fraction of the shortest gap tolerated by an engine's streams that a batch pass may take, because known loads
+    /// are slightly out of date.
     double passShare = 0.78;
-    /// Reading that may wait at an engine that answers no request before long prompts wait here instead, ms.
+    /// Prefill, ms, that may be queued at an engine without requests before long prompts wait in the daemon instead.
     double emptyAheadMs = 250;
-    /// Of a first request that bears longer pauses at an engine. More than one and a half passes beside streams take
-    /// (60 to 150 ms), so that these streams gather: an engine without streams reads parts of any length, one with
-    /// streams only such as fit into their pauses.
+    /// Cost of placing the first stream that tolerates longer gaps on an engine. It exceeds the time of one and a half
+    /// passes beside streams (60 to 150 ms), so that such streams gather on few engines: an engine without streams
+    /// prefills parts of any length, one with streams only parts that fit into their gaps.
     double gatherCostMs = 300;
-    double lateSpan = 0.5; ///< Aims that reading may take of a prompt whose first event will be late.
-    /// Part of the caller's remaining patience that such a prompt may take: estimates err.
+    /// Time that prefill may take for a prompt whose first event will be late, in multiples of the TTFT objective.
+    double lateSpan = 0.5;
+    /// Fraction of the remaining caller timeout that such a prompt may take, because estimates are inexact.
     double patienceShare = 0.8;
-    double harmWeight = 1; ///< Of each ms of a pass beyond `passShare`, for each stream that it delays.
-    double expectedWeight = 0.2; ///< Of each ms until the first event, while that is in time.
-    double lateWeight = 3; ///< Of each ms beyond the part of the aim that is in time for sure.
-    double aimShare = 0.6; ///< That part.
-    double helperCostMs = 4; ///< Of one more engine that reads a part of a tight prompt.
-    /// Of a tight stream at an engine that is not kept for them: it keeps long prompts from being read there.
+    /// Cost per ms of a batch pass beyond the limit of `passShare`, for each stream that it delays.
+    double harmWeight = 1;
+    double expectedWeight = 0.2; ///< Cost per ms of the expected time until the first event.
+    double lateWeight = 3; ///< Additional cost per ms beyond the fraction `aimShare` of the TTFT objective.
+    double aimShare = 0.6; ///< Fraction of the TTFT objective that is safely in time.
+    double helperCostMs = 4; ///< Cost of each additional engine that prefills a part of a tight prompt.
+    /// Cost of placing a tight stream on an engine that is not reserved for them, because it keeps long prompts from
+    /// being prefilled there.
     double notKeptCostMs = 60;
-    double fillCostMs = 100; ///< Of the last slot of an engine; falls to 0 at `tightFill`.
-    double otherDomainCostMs = 0.5; ///< Of a target elsewhere: the way there and back.
-    /// Reading that may wait at an engine before requests wait here instead, ms: whichever engine gets through first
-    /// can take them then.
+    double fillCostMs = 100; ///< Cost of taking the last slot of an engine; falls to 0 at `tightFill`.
+    double otherDomainCostMs = 0.5; ///< Cost of a target in another failure domain: the network round trip.
+    /// Prefill, ms, that may be queued at an engine before tight requests wait in the daemon, from where whichever
+    /// engine finishes first can take them.
     double mostAheadTightMs = 250;
-    /// Reading that may wait at an engine before requests are refused, ms: callers leave a silent stream after 2 s.
+    /// Prefill, ms, that may be queued at an engine before requests are refused; callers leave a stream without
+    /// events after 2 s.
     double mostQueueMs = 1000;
-    double queueShare = 0.5; ///< Requests that may queue at an engine beyond its slots, as a share of them.
-    /// Share of their slots that engines kept for tight streams are filled to before one more is kept.
+    double queueShare = 0.5; ///< Requests that may queue at an engine beyond its slots, as a fraction of the slots.
+    /// Fraction of their slots up to which engines reserved for tight streams are filled before one more is reserved.
     double tightFill = 0.75;
-    double tightSpare = 4; ///< Tight streams that room is kept for beyond those there are.
-    double tightOnlyShare = 0.6; ///< Most of the engines that are kept for tight streams.
-    int mostHelpers = 15; ///< An engine takes 16 at most.
+    double tightSpare = 4; ///< Number of tight streams for which room is reserved beyond the current ones.
+    double tightOnlyShare = 0.6; ///< Maximum fraction of the engines that are reserved for tight streams.
+    int mostHelpers = 15; ///< An engine accepts 16 at most.
     std::int64_t leastPartTokens = 2000; ///< Smaller parts are not worth a message.
-    double memoryShare = 0.97; ///< Part of an engine's memory that is given out; the rest covers rounding to blocks.
-    /// Queue at a plain target beyond its slots, as a share of them, before requests wait here.
+    /// Fraction of an engine's KV memory that may be allocated; the rest covers rounding to blocks.
+    double memoryShare = 0.97;
+    /// Requests that may queue at a plain target beyond its slots before requests wait in the daemon, as a fraction of
+    /// the slots.
     double plainQueueShare = 1.0;
 };
 
--- a/include/spurlug/settings/relay_settings.h
+++ b/include/spurlug/settings/relay_settings.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: settings of a daemon that relays
+// spurlug: settings of a relaying daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -15,54 +15,55 @@
 namespace spurlug::settings
 {
 
-/// \brief What the operator promises callers and targets; the relay keeps within it.
+/// \brief Guarantees of the operator to callers and targets that the relay must keep.
 struct RelayBounds
 {
-    core::Duration drain = absl::Seconds(2); ///< A leaving target gets nothing new after this.
-    core::Duration targetHeartbeat = absl::Milliseconds(1200); ///< Targets write their entries so often.
-    core::Duration grace = absl::Seconds(8); ///< From the request to stop until the process is killed.
-    core::Duration revoke = absl::Seconds(5); ///< A key that was taken away works no longer than this.
-    bool failClosed = true; ///< Whether keys stop working when it cannot be known that they are still valid.
-    double retryRatio = 0.2; ///< Repeated sends of all daemons for each request.
+    core::Duration drain = absl::Seconds(2); ///< Time after which a target that shuts down gets no new work.
+    core::Duration targetHeartbeat = absl::Milliseconds(1200); ///< Interval at which targets write their entries.
+    core::Duration grace = absl::Seconds(8); ///< Time from the request to stop until the process is killed.
+    core::Duration revoke = absl::Seconds(5); ///< Maximum time for which a revoked key still works.
+    bool failClosed = true; ///< Whether keys are rejected when their validity cannot be confirmed.
+    double retryRatio = 0.2; ///< Retries per request, over all daemons.
     core::Duration retryWindow = absl::Seconds(10);
-    double retrySlack = 100; ///< Repeated sends of all daemons beyond the ratio, in a window.
-    core::Duration longestHold = absl::Seconds(20); ///< Longest reservation of KV memory.
-    /// Targets of an evacuated failure domain get nothing new after this; 0, where the file names none: none is
-    /// evacuated.
+    double retrySlack = 100; ///< Retries of all daemons in a window beyond the ratio.
+    core::Duration longestHold = absl::Seconds(20); ///< Maximum duration of a KV memory reservation.
+    /// Time after which targets of an evacuated failure domain get no new work. 0 if the file has no value: failure
+    /// domains are not evacuated.
     core::Duration evacuate = absl::ZeroDuration();
-    core::Duration freeAfter = absl::Seconds(4); ///< Reserved memory is free again this long after its last use.
+    core::Duration freeAfter = absl::Seconds(4); ///< Reserved memory is released this long after its last use.
 };
 
-/// \brief What a relaying daemon reads from its settings file.
+/// \brief Contents of the settings file of a relaying daemon.
 struct RelaySettings
 {
     std::string vm; ///< Name of this VM, unique in the fleet.
     std::string failureDomain;
-    std::vector<std::string> failureDomains; ///< All of the fleet. Empty: all daemons count as one.
+    std::vector<std::string> failureDomains; ///< All of the fleet. If empty, all daemons count as one domain.
     std::string region;
     core::Address callerAddress; ///< Port 0 lets the kernel choose.
     core::Address readinessAddress;
     core::Address controlAddress; ///< HTTP, for other daemons.
     core::Address peerAddress; ///< UDP, for heartbeats.
     core::Address metricsAddress;
-    core::Address store; ///< Configuration and targets.
+    core::Address store; ///< Holds the configuration and the targets.
     std::vector<core::Address> seeds; ///< Control addresses of some daemons.
-    double processorShare = 1; ///< Of a core that this VM has; larger VMs hold roles for the others.
-    /// Daemons of a failure domain that read the store for it. Readers of other domains stand in for one that is gone.
+    double processorShare = 1; ///< CPU cores of this VM, may be a fraction; larger VMs hold roles for the others.
+    /// Number of daemons of a failure domain that read the store for it. Readers in other domains take over if one
+    /// fails.
     int readersPerDomain = 1;
     core::LogLevel logLevel = core::LogLevel::Info;
     RelayBounds bounds;
     PlacementRule placement;
 
-    /// \brief Whether this daemon shares its part of the fleet's limits with those of a failure domain.
+    /// \brief Whether this daemon shares its part of the fleet's limits with the daemons of a failure domain.
     [[nodiscard]] bool countsTogether(const std::string &domain) const
     {
         return failureDomains.empty() || domain == failureDomain;
     }
 };
 
-/// \brief Reads and checks a settings file.
-/// \throws InvalidDocument with one line for each fault: file, JSON pointer, what was expected.
+/// \brief Reads and validates a settings file.
+/// \throws InvalidDocument with one line per error: file, JSON pointer and what was expected.
 [[nodiscard]] RelaySettings loadRelaySettings(const std::string &path);
 
 } // namespace spurlug::settings
--- a/src/relay/crash_ledger.cpp
+++ b/src/relay/crash_ledger.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which requests end the targets that run them
+// spurlug: detection and quarantine of requests that crash their targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,12 +13,13 @@
 namespace
 {
 
-/// Callers come with some tens of requests a second to a daemon: the last minute and more, in 100 KB.
+/// A daemon gets some tens of requests per second, so this covers more than the last minute in 100 KB.
 constexpr std::size_t SurvivalSlots = 4096;
-constexpr std::size_t MostDoublings = 6; // Of the pause before a trial: up to the hour after which work is forgotten.
+// Doublings of the delay before a trial: up to the hour after which content is forgotten.
+constexpr std::size_t MostDoublings = 6;
 
-/// A word takes some ms, and each daemon that passes it on makes its moment later by as much. So only what is later by
-/// more than this is news: else two daemons would tell each other of ever later moments.
+/// A message takes some ms, and each daemon that forwards it moves its time later by as much. Only a time that is later
+/// by more than this is news; otherwise two daemons would keep sending each other ever later times.
 constexpr auto WordDelay = absl::Seconds(1);
 
 bool counts(const TargetEnd &end, core::Time ranWellAt)
@@ -26,7 +27,7 @@
     return end.at > ranWellAt + core::Duration(CrashLedger::SurvivalSpan);
 }
 
-/// \returns Whether the end is news.
+/// \returns Whether the crash is new and counts.
 bool add(CrashSuspect &suspect, const TargetEnd &end)
 {
     const bool known = std::any_of(suspect.ends.begin(), suspect.ends.end(),
@@ -39,7 +40,7 @@
     return true;
 }
 
-/// Takes the ends out that do not count any more.
+/// Removes the crashes that no longer count.
 /// \returns Whether there were any.
 bool refute(CrashSuspect &suspect, core::Time ranWellAt)
 {
--- a/src/relay/domain_links.cpp
+++ b/src/relay/domain_links.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which failure domains reach each other, by what requests met
+// spurlug: reachability between failure domains, derived from the outcome of requests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,11 +13,11 @@
 namespace
 {
 
-/// One target that cannot be reached has failed itself.
+/// A single unreachable target is taken to have failed itself.
 constexpr std::size_t EnoughTargets = 2;
-/// A link that is down is tried again this long after the last failure; the next failure closes it again at once.
+/// A link that is down is tried again this long after the last failure; the next failure marks it down again at once.
 constexpr auto TriedAgainAfter = absl::Milliseconds(1500);
-/// Failures further apart than this have nothing to do with each other.
+/// Failures further apart than this are treated as unrelated.
 constexpr auto RememberedFor = absl::Seconds(4);
 
 } // namespace
--- a/src/relay/engine_estimate.cpp
+++ b/src/relay/engine_estimate.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what an engine would do with a prompt, or a part of one, beside the work it has
+// spurlug: estimates of how an engine would process a prompt, or a part of one, beside its current work
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,8 +13,8 @@
 namespace
 {
 
-constexpr double JitterMs = 4; // Spreads choices of daemons that see the same loads.
-/// Age of loads at which that is enough; the older they are, the more daemons choose by the same ones.
+constexpr double JitterMs = 4; // Makes daemons that see the same loads choose differently.
+/// Load age up to which this jitter suffices; the older the loads, the more daemons choose by the same ones.
 constexpr auto FreshLoads = absl::Milliseconds(70);
 
 double readingMs(const Outstanding &load) noexcept
@@ -81,7 +81,7 @@
 {
     const auto &load = at(candidate).load;
     const auto pass = passMs(m_costs, load);
-    return readingMs(load) + part + pass + pass / 2; // In the mean, half of a pass is under way.
+    return readingMs(load) + part + pass + pass / 2; // On average, half of a batch pass is still in progress.
 }
 
 double EngineEstimate::finishMs(std::size_t target, const std::vector<std::size_t> &helpers, double part) const noexcept
@@ -141,7 +141,7 @@
 
 bool EngineEstimate::considered(std::size_t candidate) const noexcept
 {
-    constexpr std::uint64_t Salt = 0x94D049BB133111EBULL; // Draws differ from those of the jitter.
+    constexpr std::uint64_t Salt = 0x94D049BB133111EBULL; // Makes the draws independent of the jitter.
     return choiceJitter(m_pick ^ Salt, candidate) * absl::FDivDuration(m_request.loadAge, FreshLoads) <= 1;
 }
 
--- a/src/relay/evacuations.cpp
+++ b/src/relay/evacuations.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: failure domains that the operator asks to be left alone
+// spurlug: failure domains that the operator evacuates
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -25,14 +25,14 @@
               {{"domain", domain}, {"era", told.position.era}, {"revision", told.position.revision}, {"from", from}});
 }
 
-/// The targets of a failure domain that is taken back may have turned cold shortly before, and their entries may say so
-/// later.
+/// Treats the targets of a failure domain as warming up when its evacuation ends: they may have become slow shortly
+/// before, and their entries may report that only later.
 void takeForCold(RelayContext &context, const std::string &domain, core::Time now)
 {
     for (const auto &[id, target] : context.targets.all()) {
         const auto *service = context.table ? context.table->service(target->entry.service) : nullptr;
         if (target->entry.failureDomain == domain && service != nullptr) {
-            noteCold(context, *target, service->coldStart, "taken back", now);
+            noteCold(context, *target, service->coldStart, "evacuation ended", now);
         }
     }
 }
--- a/src/relay/fleet_rate.cpp
+++ b/src/relay/fleet_rate.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a rate of requests to one target that all daemons keep together without asking each other
+// spurlug: rate limiting of a target across all daemons without coordination messages
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -16,14 +16,14 @@
 namespace
 {
 
-/// Parts of a rate that its givers use within any span of it: three schedulers at once and all daemons that decide
-/// alone stay within 1.35 times the rate, where the operator allows 1.5 times and some more.
+/// Fractions of the rate that each kind of sender uses in any span: three concurrent schedulers and all daemons that
+/// decide without one stay within 1.35 times the rate, while the operator allows slightly more than 1.5 times.
 constexpr double SchedulerPart = 0.4;
 constexpr double AlonePart = 0.15;
-constexpr double EverybodyPart = 0.7; ///< Twice that where the daemons of a domain know a half of them each.
-constexpr auto LearningSpan = absl::Seconds(3); ///< A daemon that started hears all others within it.
+constexpr double EverybodyPart = 0.7; ///< Doubles if each daemon of a domain knows only half of them.
+constexpr auto LearningSpan = absl::Seconds(3); ///< A daemon hears all others within this time after its start.
 
-/// This daemon's part of what all daemons give: equal parts, none for one that does not know how many there are.
+/// This daemon's equal share of what all daemons send; 0 if it does not know how many daemons there are.
 double equalShare(const FleetKnowledge &fleet) noexcept
 {
     if (!fleet.hasOthers) {
@@ -60,7 +60,7 @@
 
 double RateShare::turnRate(const FleetRate &rate) const
 {
-    // A span sees the turns that began within it, and those that began up to their life before.
+    // A span covers the permits issued within it and those issued up to `TurnLife` before it.
     const auto seen = m_giver == RateGiver::Alone ? AlonePart : EverybodyPart;
     return rate.perSecond * m_share * seen * absl::FDivDuration(rate.span, rate.span + core::Duration(TurnLife));
 }
--- a/src/relay/placement.cpp
+++ b/src/relay/placement.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: where a request runs, and which engines help to read its prompt
+// spurlug: placement of requests on targets, and of prefill parts on helper engines
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -16,12 +16,12 @@
 
 double choiceJitter(std::uint64_t pick, std::size_t candidate) noexcept
 {
-    constexpr std::uint64_t Spread = 0x9E3779B97F4A7C15ULL; // Odd constants with bits all over the word.
+    constexpr std::uint64_t Spread = 0x9E3779B97F4A7C15ULL; // Odd constants whose set bits are spread over the word.
     constexpr std::uint64_t FirstMix = 0xBF58476D1CE4E5B9ULL;
     constexpr std::uint64_t SecondMix = 0x94D049BB133111EBULL;
     constexpr unsigned Bits = 24;
-    // Products alone keep the difference of two candidates constant: of two alike one would get 84 requests of a
-    // hundred.
+    // Multiplication alone keeps the difference between two candidates constant, so that one of two equal candidates
+    // would get 84 of 100 requests.
     auto mixed = pick + candidate * Spread;
     mixed = (mixed ^ (mixed >> 30U)) * FirstMix;
     mixed = (mixed ^ (mixed >> 27U)) * SecondMix;
@@ -76,7 +76,8 @@
 std::optional<Placement> placePlain(const std::vector<Candidate> &candidates, const PlacementRule &rule,
                                     std::uint64_t pick)
 {
-    constexpr double FarShare = 0.1; // Of a slot's load: a free target elsewhere goes before a busy one at home.
+    // Fraction of a slot's load: a free remote target is preferred to a busy local one.
+    constexpr double FarShare = 0.1;
     constexpr double JitterShare = 0.05;
     std::optional<Placement> best;
     double bestCost = std::numeric_limits<double>::infinity();
--- a/src/relay/rate_limit.cpp
+++ b/src/relay/rate_limit.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the request rate that a target says it takes from the whole fleet
+// spurlug: request rate that a target accepts from the whole fleet
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr auto Span = absl::Seconds(4); ///< The operator's: the limit holds for any such span.
+constexpr auto Span = absl::Seconds(4); ///< Defined by the operator: the limit holds in any span of this length.
 constexpr double LeastPerSecond = 0.25;
 
 } // namespace
--- a/src/relay/retry_ledger.cpp
+++ b/src/relay/retry_ledger.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: this daemon's part of the fleet's bound on repeated sends
+// spurlug: this daemon's share of the fleet-wide retry budget
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,10 +13,11 @@
 namespace
 {
 
-constexpr double YoungShare = 0.03; ///< Of a domain's slack, of all its daemons that have not lived for a window.
-constexpr double YoungLives = 3; ///< A window sees so many of one daemon at most.
-constexpr double YoungAloneShare = 0.15; ///< Of a daemon that is the whole fleet.
-constexpr auto LearningSpan = absl::Seconds(3); ///< A daemon that started hears all others within it.
+/// Fraction of a domain's slack for all of its daemons that have run for less than a window.
+constexpr double YoungShare = 0.03;
+constexpr double YoungLives = 3; ///< Maximum number of such incarnations of one daemon in a window.
+constexpr double YoungAloneShare = 0.15; ///< For a daemon that is the whole fleet.
+constexpr auto LearningSpan = absl::Seconds(3); ///< A daemon hears all others within this time after its start.
 
 void forgetBefore(std::deque<core::Time> &times, core::Time oldest)
 {
@@ -25,8 +26,9 @@
     }
 }
 
-/// Of a domain's slack, of all its daemons that have lived for a window: what is left of the whole when one domain is
-/// parted in two, and each daemon of it restarts as often as it can. 0.41 of one domain, 0.66 of three, 0.74 of five.
+/// Fraction of a domain's slack for all of its daemons that have run for a whole window: what remains of the total when
+/// one domain is partitioned in two and each of its daemons restarts as often as possible. 0.41 for one domain, 0.66
+/// for three, 0.74 for five.
 double settledShare(std::size_t domains) noexcept
 {
     const auto count = static_cast<double>(domains);
--- a/src/relay/spread_placement.cpp
+++ b/src/relay/spread_placement.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: where a prompt goes whose stream bears longer pauses
+// spurlug: placement of prompts whose streams tolerate longer gaps
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -14,12 +14,13 @@
 namespace
 {
 
-constexpr std::int64_t MemoryBlock = 16; // Tokens; reservations are whole blocks.
-/// Time that a prompt too long to be in time may take, in terms of that with all engines: some are always busy.
+constexpr std::int64_t MemoryBlock = 16; // Tokens; reservations are multiples of a block.
+/// Maximum time for a prompt that is too long to be in time, relative to its time with all engines; some engines are
+/// always busy.
 constexpr double SlowestShare = 1.5;
-constexpr std::int64_t LeastHolding = 4096; // Tokens; smaller ones are not worth an order.
+constexpr std::int64_t LeastHolding = 4096; // Tokens; smaller reservations are not worth a request.
 
-/// Reads one prompt in even parts, each at an engine of its own.
+/// Places one prompt that is prefilled in equal parts, each on a different engine.
 class SpreadPlacer
 {
 public:
@@ -37,15 +38,15 @@
     {
         auto placement = among(calmOnes());
         if (placement && absl::ToDoubleMilliseconds(placement->expected) > longestMs()) {
-            return std::nullopt; // More engines will be calm soon.
+            return std::nullopt; // More engines will have capacity soon.
         }
         return placement;
     }
 
 private:
-    /// Longest time until the first event for which the prompt is sent now rather than kept waiting for more engines.
-    /// One that can still be in time must be; any other must end well before its caller leaves, and not hold few
-    /// engines for long.
+    /// Maximum expected time until the first event for which the prompt is sent now instead of waiting for more
+    /// engines. A prompt that can still be in time must be; any other must finish well before its caller disconnects
+    /// and must not occupy few engines for long.
     [[nodiscard]] double longestMs() const
     {
         const auto waited = absl::ToDoubleMilliseconds(m_request.waited);
@@ -58,7 +59,8 @@
         return std::min(std::max(aim * m_rule.lateSpan, soonest * SlowestShare), patience * m_rule.patienceShare);
     }
 
-    /// Engines that would read the prompt if none had other work. Those that recover from failures do not help.
+    /// Number of engines that would prefill the prompt if none had other work. Engines that recover from failures do
+    /// not help.
     [[nodiscard]] std::size_t engagedAtMost() const
     {
         std::size_t helping = 0;
@@ -68,7 +70,7 @@
         return helping;
     }
 
-    /// Reads the prompt at these engines; nothing when they lack slots or memory.
+    /// Placement of the prompt on these engines; std::nullopt if they lack slots or memory.
     [[nodiscard]] std::optional<Placement> among(Readers readers) const
     {
         const auto part = partOver(readers.size());
@@ -91,7 +93,7 @@
         return static_cast<std::size_t>(m_rule.mostHelpers);
     }
 
-    /// Most parts of the prompt that are worth a message each.
+    /// Maximum number of parts that are each worth a message.
     [[nodiscard]] std::size_t mostParts() const
     {
         const auto parts = m_request.prompt.promptTokens / m_rule.leastPartTokens;
@@ -114,7 +116,8 @@
         return readers;
     }
 
-    /// Engines whose streams stay in time. The fewer they are, the larger each part: looks until none is left out.
+    /// Engines whose streams stay in time. Parts grow as engines are excluded, so this iterates until no more are
+    /// excluded.
     [[nodiscard]] Readers calmOnes() const
     {
         auto readers = all();
@@ -127,16 +130,17 @@
         return readers;
     }
 
-    /// Cost of reading a part at an engine; where others are left, those with tight streams get none.
+    /// Cost of prefilling a part at an engine. A surcharge keeps parts away from engines with streams that tolerate
+    /// only short gaps while others are available.
     [[nodiscard]] double costOf(std::size_t candidate, double part) const
     {
         const auto amongTight = m_engines.servesTight(candidate) ? m_rule.notKeptCostMs : 0;
         return m_engines.readingCost(candidate, part) + amongTight;
     }
 
-    /// Engines that may generate the answer: the readers, and those that may not help others now but may answer. An
-    /// engine that was left out is among the latter: it is not asked for help before it has answered a request of its
-    /// own.
+    /// Engines that may generate the answer: those that prefill, and those that currently may not help others but may
+    /// answer. The latter include engines that return from an ejection: they are not asked for help until they have
+    /// answered a request of their own.
     [[nodiscard]] Readers writers(const Readers &readers, double part) const
     {
         auto writers = readers;
@@ -148,7 +152,7 @@
         return writers;
     }
 
-    /// The best engine to generate the answer; nothing when none has a slot and memory.
+    /// The cheapest engine that can generate the answer; std::nullopt if none has both a slot and memory.
     [[nodiscard]] std::optional<std::size_t> bestWriter(const Readers &readers, double part) const
     {
         std::optional<std::size_t> best;
@@ -168,8 +172,8 @@
         return best;
     }
 
-    /// Lays a prompt that no reader can hold alone into the memory of several.
-    /// \returns False when they have not enough together.
+    /// Divides the KV memory of a prompt that fits no single engine among several.
+    /// \returns False if they do not have enough memory together.
     [[nodiscard]] bool holdAmong(const Readers &readers, Placement &placement) const
     {
         auto roomiest = readers;
@@ -198,7 +202,7 @@
         return missing <= 0;
     }
 
-    /// Adds readers that are not in the placement yet, best first, up to the most parts.
+    /// Adds engines that are not yet in the placement, cheapest first, up to the maximum number of parts.
     void addReaders(const Readers &readers, Placement &placement) const
     {
         const auto holders = placement.helpers;
--- a/src/relay/target_choice.cpp
+++ b/src/relay/target_choice.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the choice among the targets that are known, by the work that is known there
+// spurlug: choice of the targets for a request, based on the known load of each
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,16 +13,18 @@
 namespace
 {
 
-/// Part of the aim that a tight request waits for a free target before it may queue at one.
+/// Fraction of the TTFT objective for which a request that tolerates only short gaps waits for a free target before it
+/// may queue at one.
 constexpr double WaitShare = 0.22;
-/// Share of a service's targets up to which peers' reports are believed: beyond it the network is at fault.
+/// Share of a service's targets up to which peers' unreachability reports are believed. If more are reported, the
+/// network is assumed to be at fault.
 constexpr double MostAvoidedShare = 0.34;
 
-/// Whether cold targets come into question.
+/// Whether targets that are warming up are eligible.
 enum class ColdTargets
 {
     PassedOver,
-    AsTheyBear, ///< Those that bear one more request now.
+    AsTheyBear, ///< Those whose rate allows one more request now.
 };
 
 RateGiver giverOf(const RelayContext &context, const TargetQuery &query)
@@ -34,7 +36,7 @@
     return service != nullptr && service->engine ? RateGiver::Alone : RateGiver::Everybody;
 }
 
-/// Makes the candidates of one request.
+/// Builds the placement candidates of one request.
 class CandidateList
 {
 public:
@@ -83,7 +85,7 @@
         return m_heedsReports && m_now < target.reportedUntil;
     }
 
-    /// Whether it is slow, and its service says that this makes a difference.
+    /// Whether the target is warming up and its service sets a request rate for that state.
     [[nodiscard]] bool cold(const Target &target) const
     {
         return target.coldStart.lasts(m_now) && coldPerSecond() > 0;
@@ -149,7 +151,8 @@
         if (cutOff(target)) {
             return false;
         }
-        // A daemon that could not reach it either tries it itself: if all waited for each other it would never return.
+        // A daemon that also failed to reach the target probes it itself: if every daemon waited for the others, it
+        // would never return to service.
         if (avoided(target) && !target.health.onProbation()) {
             return false;
         }
@@ -161,9 +164,9 @@
     const TargetQuery &m_query;
     const TargetSet::Targets &m_targets;
     const ColdTargets m_coldTargets;
-    const std::string m_from; ///< Failure domain of the daemon that sends the request.
+    const std::string m_from; ///< Failure domain of the requesting daemon.
     const core::Time m_now;
-    bool m_heedsReports = true; ///< Whether reports of unreachable targets are few enough to be believed.
+    bool m_heedsReports = true; ///< False if so many targets are reported unreachable that the reports are ignored.
     std::vector<Outstanding> m_loads;
 };
 
@@ -183,7 +186,7 @@
     return home.empty() ? targets : home;
 }
 
-/// Chooses among candidates so that the engine that answers reaches its helpers.
+/// Chooses among candidates such that the answering engine can reach its helpers.
 class Chooser
 {
 public:
--- a/src/relay/target_health.cpp
+++ b/src/relay/target_health.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whether a target is left out for a while because it fails
+// spurlug: ejection of failing targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr double SuccessWeight = 0.13; // As EjectionRule::weight: successes and failures count alike.
+constexpr double SuccessWeight = 0.13; // Equal to EjectionRule::weight, so that successes and failures count alike.
 constexpr int MostDoublings = 10;
 
 } // namespace
--- a/src/relay/target_log.cpp
+++ b/src/relay/target_log.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the latest changes of the list of targets, for daemons that follow this one
+// spurlug: log of recent changes to the target list for daemons that follow this one
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -27,7 +27,7 @@
 
 std::optional<std::vector<TargetChange>> TargetLog::since(const DirectoryPosition &position) const
 {
-    if (!position.known() || position < m_reachesBackTo) { // The log is of one era.
+    if (!position.known() || position < m_reachesBackTo) { // The log covers one directory era only.
         return std::nullopt;
     }
     std::vector<TargetChange> changes;
--- a/src/relay/target_notice.cpp
+++ b/src/relay/target_notice.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what targets say of themselves beside their answers
+// spurlug: processing of the notices that targets attach to their responses
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr auto LiftedToldFor = absl::Seconds(10); ///< Some rounds of heartbeats, at their longest interval.
+constexpr auto LiftedToldFor = absl::Seconds(10); ///< A few heartbeat rounds at their longest interval.
 
 } // namespace
 
@@ -25,7 +25,7 @@
                       core::Time now)
 {
     if (answer.wrongTarget) {
-        endLife(context, target, "another life answers");
+        endLife(context, target, "another incarnation answers");
         return;
     }
     if (answer.cold) {
--- a/src/relay/target_set.cpp
+++ b/src/relay/target_set.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the targets, the work that this daemon and its peers have at each, and how they fare
+// spurlug: known targets with their health and the work that this daemon and its peers have at each
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -14,17 +14,18 @@
 namespace
 {
 
-/// Part of a prompt that counts as unread until the first event has come: when that is later than expected, engines
-/// have more to read than was known, and nothing tells how much. From 0.35 to 0.7 it makes no difference
-/// (docs/BENANGJAYA.md). Of a prompt that several engines read, any one of them may be the late one, so each counts
-/// that much less: a part that is stuck at one engine must not keep work away from fifteen others.
+/// Minimum share of a prompt's prefill time that counts as remaining until the first event arrives. If the first event
+/// is late, the engines have more prefill queued than was known, and the amount is unknown. Values from 0.35 to 0.7
+/// make no difference (docs/BENANGJAYA.md). If several engines prefill the prompt, any one of them may cause the delay,
+/// so the share is divided by their number: a part that is stuck at one engine must not keep work away from fifteen
+/// others.
 constexpr double LeastUnread = 0.5;
-/// A report counts this long: it is told anew with each heartbeat while it holds.
+/// A peer's report is valid for this long; peers repeat it with each heartbeat while it holds.
 constexpr auto ReportLife = absl::Milliseconds(1200);
-/// A daemon that cannot reach more than this share of all targets is taken to be cut off itself.
+/// A daemon that cannot reach more than this share of all targets is assumed to be cut off itself.
 constexpr double MostReportedShare = 0.2;
 
-/// What is left of `micros` of reading that should end at `expected`, at one of so many engines.
+/// Remaining prefill time, us, at one of `engines` engines, of `micros` that should be done at `expected`.
 std::int64_t unread(std::int64_t micros, core::Time expected, core::Time now, std::size_t engines)
 {
     const auto share = LeastUnread / static_cast<double>(engines);
@@ -32,13 +33,13 @@
     return std::clamp(absl::ToInt64Microseconds(expected - now), least, micros);
 }
 
-constexpr auto FirstHelpPause = absl::Milliseconds(300); ///< A full engine gets through its reading in less.
-/// One that crashed is back after some seconds; it is asked by one prompt in each pause.
+constexpr auto FirstHelpPause = absl::Milliseconds(300); ///< A full engine completes its queued prefill in less time.
+/// A crashed engine is back after some seconds; only one prompt asks it in each backoff period.
 constexpr auto LongestHelpPause = absl::Milliseconds(1200);
-/// A queue is longer than what is got through in less. The pause does not grow: one that doubled to 1.6 s gained 0.013
-/// of the worth where some targets turn all away, and an overloaded fleet never did better with it.
+/// A queue outlasts this pause. The pause does not grow: doubling it up to 1.6 s gained 0.013 of the worth where some
+/// targets refuse everything, and never improved results for an overloaded fleet.
 constexpr auto FullPause = absl::Milliseconds(200);
-/// A pause that ended this long ago says nothing any more.
+/// The number of consecutive refusals is reset this long after a backoff period ended.
 constexpr auto PauseRemembered = absl::Seconds(4);
 
 } // namespace
@@ -46,7 +47,7 @@
 void RefusalPause::refused(core::Time now) noexcept
 {
     if (lasts(now)) {
-        return; // It was asked before the first refusal was known.
+        return; // Asked before the first refusal was known.
     }
     m_inARow = now - m_until > PauseRemembered ? 0 : m_inARow;
     const auto pause = m_first * (1 << m_inARow);
@@ -128,7 +129,7 @@
 Outstanding PeerShare::work(core::Time now) const noexcept
 {
     auto work = m_work;
-    work.readMicros = unread(work.readMicros, m_dueAt, now, 1); // Its daemon told what is left at this engine.
+    work.readMicros = unread(work.readMicros, m_dueAt, now, 1); // The peer reported the time left at this engine.
     work.partMicros = unread(work.partMicros, m_dueAt, now, 1);
     return work;
 }
@@ -204,7 +205,7 @@
             m_byHash.erase(target->hash);
             std::erase(m_leavingUnlisted, target);
         }
-        // Attempts in progress keep the earlier life; it is found by nobody else any more.
+        // Attempts in progress keep the earlier incarnation, which can no longer be looked up.
         target = core::makeCounted<Target>(entry);
         target->m_evacuated = m_evacuated.contains(entry.failureDomain);
         m_byHash[target->hash] = target;
@@ -295,8 +296,9 @@
 
 void TargetSet::forgetGone(core::Time now)
 {
-    constexpr auto KeptAfterwards = absl::Seconds(30); // Answers in progress may still name them.
-    /// An entry that lapsed may be written again: a life that said that it leaves must not come back as a new one.
+    constexpr auto KeptAfterwards = absl::Seconds(30); // Responses in progress may still refer to them.
+    /// An expired entry may be rewritten: an incarnation that announced its shutdown must not come back as a new
+    /// target.
     constexpr auto LeavingKeptAfterwards = absl::Minutes(10);
     std::erase_if(m_targets, [&](const auto &item) {
         const auto &target = item.second;
--- a/src/relay/tight_placement.cpp
+++ b/src/relay/tight_placement.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: where a prompt goes whose stream bears short pauses only
+// spurlug: placement of prompts whose streams tolerate only short gaps
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -15,10 +15,10 @@
 namespace
 {
 
-constexpr double LeastRoom = 0.05; // Of the slots.
+constexpr double LeastRoom = 0.05; // Minimum divisor of the fill cost, as a fraction of the slots.
 constexpr std::array<std::size_t, 10> HelperCounts{0, 1, 2, 3, 4, 6, 8, 10, 12, 15};
 
-/// Looks for the cheapest placement of one prompt.
+/// Searches for the cheapest placement of one prompt.
 class TightPlacer
 {
 public:
@@ -30,7 +30,7 @@
         , m_rule(rule)
     { }
 
-    /// The cheapest placement at an engine that the request considers, else at any.
+    /// The cheapest placement on an engine that the request considers, or on any other engine if there is none.
     std::optional<Placement> cheapest()
     {
         search([this](std::size_t i) { return m_engines.considered(i); });
@@ -64,7 +64,7 @@
         return part >= m_rule.leastPartTokens && helpers <= static_cast<std::size_t>(m_rule.mostHelpers);
     }
 
-    /// Whether the engine has a slot, and not more to read than requests should wait for there.
+    /// Whether the engine has a slot and no more queued prefill than requests should wait for there.
     [[nodiscard]] bool hasRoom(std::size_t candidate) const
     {
         const auto &engine = m_engines.at(candidate);
@@ -74,7 +74,7 @@
         return engine.mayAnswer && requests < slots && m_engines.aheadMs(candidate) <= mostAhead;
     }
 
-    /// Engines that can read a part soonest and with the least harm, best first.
+    /// Engines with the lowest cost of prefilling a part, best first.
     [[nodiscard]] std::vector<std::size_t> bestReaders(double part, std::size_t most) const
     {
         std::vector<std::pair<double, std::size_t>> order;
@@ -104,7 +104,7 @@
         return cost + fillCost(target) + (m_engines.at(target).tightOnly ? 0 : m_rule.notKeptCostMs);
     }
 
-    /// Cost of a stream more where few slots are left: those that come next would wait.
+    /// Cost of one more stream at an engine with few free slots, because later requests would have to wait.
     [[nodiscard]] double fillCost(std::size_t target) const
     {
         const auto &engine = m_engines.at(target);
--- a/src/settings/relay_settings.cpp
+++ b/src/settings/relay_settings.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: settings of a daemon that relays
+// spurlug: settings of a relaying daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -36,7 +36,7 @@
 {
     constexpr double MostMs = 1e6;
     constexpr double MostWeight = 1e6;
-    constexpr std::int64_t MostEngines = 15; // An engine takes no more helpers.
+    constexpr std::int64_t MostEngines = 15; // An engine accepts no more helpers.
     rule.tightGap = readMs(reader, "tightGapMs", rule.tightGap);
     rule.passShare = reader.number("passShare", 0, 1, rule.passShare);
     rule.emptyAheadMs = reader.number("emptyAheadMs", 0, MostMs, rule.emptyAheadMs);
--- a/src/settings/settings_reader.h
+++ b/src/settings/settings_reader.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: reading settings files
+// spurlug: helpers for reading settings files
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -22,7 +22,7 @@
 inline constexpr std::int64_t LongestMs = 3'600'000;
 inline constexpr std::int64_t MostEntries = 1'000'000;
 
-/// \brief An address that must be there; notes a fault otherwise.
+/// \brief Reads a required address and records an error if it is missing or malformed.
 inline core::Address readAddress(core::ObjectReader &reader, const std::string &key)
 {
     const auto text = reader.text(key);
@@ -37,7 +37,7 @@
     }
 }
 
-/// \brief An array of addresses that may be missing.
+/// \brief Reads an optional array of addresses.
 inline std::vector<core::Address> readAddresses(core::ObjectReader &reader, const std::string &key)
 {
     std::vector<core::Address> all;
@@ -51,7 +51,7 @@
     return all;
 }
 
-/// \brief A number of milliseconds that may be missing.
+/// \brief Reads an optional number of milliseconds.
 inline core::Duration readMs(core::ObjectReader &reader, const std::string &key, core::Duration fallback)
 {
     return core::fromMs(reader.integer(key, 1, LongestMs, core::toMs(fallback)));
@@ -66,8 +66,8 @@
     return level.value_or(core::LogLevel::Info);
 }
 
-/// \brief Reads a file with `read` and fails with every fault that was noted.
-/// \throws InvalidDocument with one line for each fault: file, JSON pointer, what was expected.
+/// \brief Reads a file with `read` and reports all errors that were recorded.
+/// \throws InvalidDocument with one line per error: file, JSON pointer and what was expected.
 template<typename Settings, typename Read>
 Settings loadChecked(const std::string &path, Read read)
 {
