--- a/include/spurlug/relay/retry_ledger.h
+++ b/include/spurlug/relay/retry_ledger.h
@@ -52,7 +52,7 @@
 /// not change the sum, and a daemon needs to know only the size of its own domain. A daemon learns that size after its
 /// start and does not remember what it spent before a restart. It therefore spends nothing right after its start or
 /// while it hears no other daemon, and only a small fraction until it has run for a whole window. Learning takes 3 s
-/// after each start, so a window of 10 s contains at most three such young incarnations of one daemon. A domain that is
+/// after each start, so a window of 10 s contains at most three such incarnations of one daemon. A domain that is
 /// partitioned from its start spends twice its fraction; one such domain is allowed for.
 [[nodiscard]] double slackShare(const FleetKnowledge &fleet, core::Duration window) noexcept;
 
--- a/src/relay/target_set.cpp
+++ b/src/relay/target_set.cpp
@@ -25,7 +25,7 @@
 /// A daemon that cannot reach more than this share of all targets is assumed to be cut off itself.
 constexpr double MostReportedShare = 0.2;
 
-/// Remaining prefill time, us, at one of `engines` engines, of `micros` that should be done at `expected`.
+/// Remaining time, us, of prefill that takes `micros` in total and has a due time, at one of several engines.
 std::int64_t unread(std::int64_t micros, core::Time expected, core::Time now, std::size_t engines)
 {
     const auto share = LeastUnread / static_cast<double>(engines);
