--- a/include/spurlug/control/crash_exchange.h
+++ b/include/spurlug/control/crash_exchange.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what daemons tell each other of requests that end their targets
+// spurlug: exchange of crash records between daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,15 +14,17 @@
 namespace spurlug::control
 {
 
-/// \brief Spreads the facts of the daemon's CrashLedger.
+/// \brief Exchanges the records of the daemon's CrashLedger with other daemons.
 ///
-/// The ends of targets under one piece of work are seen by different daemons, one each, and the sum decides. So each
-/// daemon tells new facts to three keepers, the first holders of the scheduler's role; a keeper tells everybody of work
-/// under which two targets ended. That is at once: a datagram to a keeper and one to each daemon for each such end.
-/// What gets lost, or comes to a daemon that starts, wakes or was cut off, is made up for by gossip: every quarter of a
-/// second each daemon tells one other, drawn at random, what it knows, so that in any fleet a daemon is told four times
-/// a second on average. Nothing is sent while there is nothing to tell; a datagram holds 16 suspects at most, some 700
-/// bytes.
+/// When several targets crash under the same request content, each crash is seen by a different daemon, and the total
+/// decides about a quarantine. Each daemon therefore sends new records at once to three aggregators, the first holders
+/// of the scheduler role. An aggregator forwards content under which at least two targets crashed to every daemon that
+/// it knows. Each such crash costs one datagram to each aggregator and one to each daemon.
+///
+/// Gossip makes up for lost datagrams, and for those that a daemon missed while it was starting, paused or partitioned:
+/// every 250 ms each daemon sends what it knows to one random member, so that a daemon receives four gossip messages a
+/// second on average, whatever the size of the fleet. Nothing is sent while there is nothing to report. A datagram
+/// holds at most 16 suspects, about 700 bytes.
 class CrashExchange
 {
 public:
@@ -31,16 +33,18 @@
 
     CrashExchange(relay::RelayContext &context, Send send);
 
-    /// \brief Tells what changed in this daemon's ledger.
+    /// \brief Sends the changes of this daemon's ledger to the aggregators; an aggregator also forwards them to all
+    /// members that it knows.
     void tellChanges(core::Time now);
-    /// \brief Tells the daemons of this failure domain what changed, if this one keeps their list: others know few of
-    /// them.
+    /// \brief Forwards the changes of the ledger to the daemons of this failure domain if this daemon is one of its
+    /// registrars; other daemons know only a few members. The changes are taken from the ledger in either case.
     void tellDomain(core::Time now);
-    /// \brief Takes another daemon's word.
+    /// \brief Merges the records of another daemon into the ledger and passes on what changed.
     void take(const CrashNews &news, core::Time now);
-    /// \brief Tells a daemon that was not heard before what it must know before it sends; keepers do.
+    /// \brief Sends recent records to a newly discovered daemon, which needs them before it sends requests. Only
+    /// aggregators and registrars do so.
     void greet(const core::Address &datagrams, core::Time now);
-    /// \brief Tells one other daemon what is known here, if it is time to.
+    /// \brief Sends recent records to one random member if the gossip interval has passed.
     void gossip(core::Time now);
 
 private:
--- a/include/spurlug/control/messages.h
+++ b/include/spurlug/control/messages.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: messages of the control plane between daemons
+// spurlug: control plane messages between daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -22,136 +22,138 @@
 namespace spurlug::control
 {
 
-/// \brief How an attempt at a target ended.
+/// \brief Result of an attempt at a target, or of a request for help to an engine.
 struct TargetOutcome
 {
-    std::uint32_t target = 0; ///< relay::lifeHash of its life.
-    std::optional<relay::TargetFault> fault; ///< Nothing: it did well.
-    std::uint32_t askedBy = 0; ///< relay::lifeHash of the engine that asked it for help; 0: the daemon did.
+    std::uint32_t target = 0; ///< Its relay::lifeHash.
+    std::optional<relay::TargetFault> fault; ///< Empty if the attempt succeeded.
+    std::uint32_t askedBy = 0; ///< relay::lifeHash of the engine that asked for help; 0 if the daemon asked.
 };
 
-/// \brief All work of one daemon at the targets, in place of what it said before.
+/// \brief All work of one daemon at the targets; replaces its previous report.
 struct WorkReport
 {
-    std::string vm;
-    std::string failureDomain; ///< Of the daemon.
-    std::uint64_t incarnation = 0; ///< Higher after each start of the daemon.
-    std::uint64_t sequence = 0; ///< Higher with each report of one incarnation.
-    std::uint64_t newestGrant = 0; ///< Grants up to this one are part of `work`, or were not used.
+    std::string vm; ///< Sender.
+    std::string failureDomain; ///< Of the sender.
+    std::uint64_t incarnation = 0; ///< Increases with each start of the daemon.
+    std::uint64_t sequence = 0; ///< Increases with each report of one incarnation.
+    std::uint64_t newestGrant = 0; ///< Grants up to this number are included in `work` or were not used.
     std::vector<targets::TargetWork> work;
-    std::vector<std::uint32_t> unreachable; ///< Targets that do not answer the sender.
-    std::vector<std::uint32_t> leaving; ///< Targets that leave though their entries do not say so.
-    std::vector<targets::RateNews> rates; ///< Of targets that named a rate, or no longer do.
-    std::vector<TargetOutcome> outcomes; ///< Since the last report.
-    bool wantsWord = false; ///< Whether the scheduler should say that it lives.
+    std::vector<std::uint32_t> unreachable; ///< lifeHash of targets that do not answer the sender.
+    std::vector<std::uint32_t> leaving; ///< lifeHash of targets that are draining although their entries do not say so.
+    std::vector<targets::RateNews> rates; ///< Of targets that announced a rate limit, or lifted it.
+    std::vector<TargetOutcome> outcomes; ///< Since the previous report.
+    bool wantsWord = false; ///< Whether the scheduler should acknowledge the report.
 };
 
-/// \brief The scheduler's word that it lives.
+/// \brief A scheduler's acknowledgement of a WorkReport, which shows that it is alive.
 struct ReportTaken
 {
-    std::string vm; ///< Who says so.
+    std::string vm; ///< The scheduler.
 };
 
-/// \brief The question where a prompt should go.
+/// \brief A daemon's request for the engines that should process a prompt.
 struct PlacementAsk
 {
-    std::string vm; ///< Who asks.
-    std::string failureDomain; ///< Of the daemon.
-    std::uint64_t ask = 0; ///< Unique among the asks of that daemon.
+    std::string vm; ///< Sender.
+    std::string failureDomain; ///< Of the sender.
+    std::uint64_t ask = 0; ///< Number of the request, unique for the sender.
     std::string service;
     relay::PromptFacts prompt;
-    core::Duration aim = absl::ZeroDuration(); ///< Time to the first event that counts as in time.
-    bool tight = true; ///< Whether its stream bears short pauses only.
-    core::Duration waited = absl::ZeroDuration(); ///< Since it arrived, when the ask was sent.
-    core::Duration patience = absl::InfiniteDuration(); ///< From its arrival until its caller is likely to leave.
-    int priority = 0; ///< The operator's; 0 is the most urgent.
-    std::vector<std::uint32_t> notAt; ///< Targets that must not answer it.
-    std::vector<std::uint32_t> onlyAt; ///< If there are any, only these may answer it.
-    std::vector<std::uint32_t> unwanted; ///< Targets that must get nothing from the asker, not even a part to read.
-    std::vector<targets::RateNews> rates; ///< As the asker knows them.
-    bool atHome = false; ///< Only targets of the scheduler's failure domain, if there are any.
-    bool nearHelpers = false; ///< Helpers in the failure domain of the engine that answers only.
+    core::Duration aim = absl::ZeroDuration(); ///< Time from arrival by which the first event should come.
+    bool tight = true; ///< Whether its stream tolerates only short gaps between tokens.
+    core::Duration waited = absl::ZeroDuration(); ///< Time since the prompt arrived, as of sending.
+    core::Duration patience = absl::InfiniteDuration(); ///< Time from arrival until the caller is likely to give up.
+    int priority = 0; ///< Set by the operator; 0 is the most urgent.
+    std::vector<std::uint32_t> notAt; ///< lifeHash of targets that must not answer the prompt.
+    std::vector<std::uint32_t> onlyAt; ///< If not empty, only these targets may answer the prompt.
+    std::vector<std::uint32_t> unwanted; ///< Targets that must get nothing from the sender, not even a part to prefill.
+    std::vector<targets::RateNews> rates; ///< Rate limits known to the sender.
+    bool atHome = false; ///< Use only targets of the scheduler's failure domain, if it has any.
+    bool nearHelpers = false; ///< Use only helpers in the failure domain of the answering engine.
 };
 
-/// \brief What the scheduler says to an ask.
+/// \brief Kind of the scheduler's reply to a PlacementAsk.
 enum class AnswerKind
 {
-    Granted,
-    Queued, ///< No engine is free for it now; the grant follows.
-    NotHere, ///< The daemon that was asked schedules nothing: it stops, or lacks the service's costs.
+    Granted, ///< Engines are assigned.
+    Queued, ///< No engine is free now; the grant follows.
+    NotHere, ///< The daemon cannot schedule the service: it is draining, or lacks the service's engine costs.
 };
 
-/// \brief An answer to an ask.
+/// \brief A scheduler's reply to a PlacementAsk.
 struct PlacementAnswer
 {
-    std::string vm; ///< Who answers.
-    std::uint64_t ask = 0;
+    std::string vm; ///< The scheduler.
+    std::uint64_t ask = 0; ///< Number of the request.
     AnswerKind kind = AnswerKind::NotHere;
-    std::uint64_t grant = 0; ///< Counted up by the scheduler.
+    std::uint64_t grant = 0; ///< Number of the grant; increases with each grant of the scheduler.
     std::uint32_t target = 0; ///< relay::lifeHash of the engine that answers the request.
-    std::vector<std::uint32_t> helpers; ///< Holders of memory first, then those that only read.
-    std::vector<std::int64_t> holdingTokens; ///< Of the first helpers.
-    core::Duration expected = absl::ZeroDuration(); ///< Until the first event.
-    core::Duration partRead = absl::ZeroDuration(); ///< Time that each engine reads.
+    std::vector<std::uint32_t> helpers; ///< Those that reserve KV memory first, then those that only prefill.
+    std::vector<std::int64_t> holdingTokens; ///< KV memory that each of the first helpers reserves.
+    core::Duration expected = absl::ZeroDuration(); ///< Expected time to the first event.
+    core::Duration partRead = absl::ZeroDuration(); ///< Prefill time of each engine.
 };
 
-/// \brief The request of an ask needs no place any more.
+/// \brief Withdraws a PlacementAsk and its grant, if it has one.
 struct PlacementCancel
 {
-    std::string vm;
-    std::uint64_t ask = 0;
+    std::string vm; ///< Sender of the PlacementAsk.
+    std::uint64_t ask = 0; ///< Number of the request.
 };
 
-/// \brief The question how new a daemon's knowledge is.
+/// \brief Asks a daemon how recent its configuration and target list are.
 struct ProofQuestion
 {
-    std::uint64_t number = 0; ///< Comes back with the answer.
+    std::uint64_t number = 0; ///< Returned in the answer.
 };
 
-/// \brief How new a daemon's knowledge is. Ages are as of the moment of the answer; infinite: never.
+/// \brief How recent a daemon's configuration and target list are. Ages are as of the moment of the answer; an infinite
+/// age means never.
 struct ProofAnswer
 {
-    std::string vm; ///< Who answers.
-    std::uint64_t number = 0;
-    std::int64_t version = 0; ///< Of the configuration in force there; 0: none.
-    core::Duration proofAge = absl::InfiniteDuration(); ///< Of the proof that it is the newest.
-    /// Since the directory was asked for what it answered last.
+    std::string vm; ///< Sender of the answer.
+    std::uint64_t number = 0; ///< Of the question.
+    std::int64_t version = 0; ///< Of the configuration in force at the sender; 0 if there is none.
+    core::Duration proofAge = absl::InfiniteDuration(); ///< Of the proof that this version is the newest.
+    /// Time since the sending of the last directory request that was answered.
     core::Duration contactAge = absl::InfiniteDuration();
-    relay::DirectoryPosition targetsPosition; ///< Of the newest change of the targets that is known there.
-    core::Duration targetsAge = absl::InfiniteDuration(); ///< Of the list of targets.
-    core::Duration regainedAge = absl::InfiniteDuration(); ///< Since the directory was regained.
-    relay::Evacuations evacuations; ///< As they are known there.
+    relay::DirectoryPosition targetsPosition; ///< Of the newest change of the target list known to the sender.
+    core::Duration targetsAge = absl::InfiniteDuration(); ///< Of the target list.
+    core::Duration regainedAge = absl::InfiniteDuration(); ///< Time since the directory became reachable again.
+    relay::Evacuations evacuations; ///< As known to the sender.
 };
 
-/// \brief A life of a target that ended while a piece of work ran there.
+/// \brief A crash of a target while a request with certain content ran there.
 struct EndNews
 {
-    std::uint32_t target = 0; ///< relay::lifeHash of that life.
-    core::Duration age = absl::ZeroDuration(); ///< Since it ended.
+    std::uint32_t target = 0; ///< relay::lifeHash of the crashed incarnation.
+    core::Duration age = absl::ZeroDuration(); ///< Time since the crash.
 };
 
-/// \brief A piece of work and the ends of targets under it.
+/// \brief Request content and the crashes of targets under it.
 struct SuspectNews
 {
-    core::Digest work;
+    core::Digest work; ///< Digest of the request content.
     std::vector<EndNews> ends;
-    core::Duration ranWellAge = absl::InfiniteDuration(); ///< Since it ran to an end and its target lived.
+    core::Duration ranWellAge = absl::InfiniteDuration(); ///< Time since it was completed and its target stayed up.
 };
 
-/// \brief What a daemon knows of work that ends its targets.
+/// \brief A daemon's records of request content that crashes targets.
 struct CrashNews
 {
     std::vector<SuspectNews> suspects;
 };
 
+/// \brief Any message of the control plane.
 using Message = std::variant<WorkReport, ReportTaken, PlacementAsk, PlacementAnswer, PlacementCancel, ProofQuestion,
                              ProofAnswer, CrashNews>;
 
-/// \brief Writes a message as one datagram.
+/// \brief Serializes a message into one datagram.
 [[nodiscard]] std::string writeMessage(const Message &message);
 
-/// \brief Reads a datagram.
-/// \returns Nothing when it is no message of the control plane: a heartbeat, or bytes of somebody else.
+/// \brief Parses a datagram.
+/// \returns Nothing if it is not a control plane message, such as a heartbeat or foreign bytes.
 [[nodiscard]] std::optional<Message> readMessage(std::string_view datagram);
 
 } // namespace spurlug::control
--- a/include/spurlug/control/roster.h
+++ b/include/spurlug/control/roster.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which daemon holds which role
+// spurlug: live daemons and the assignment of roles to them
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,70 +16,72 @@
 namespace spurlug::control
 {
 
-/// \brief A duty that few daemons have for the others.
+/// \brief A task that a few daemons perform for the others.
 enum class Role
 {
     Scheduler, ///< Chooses engines for prompts.
-    Reader, ///< Reads the directory for its failure domain.
-    Registrar, ///< Keeps the list of its failure domain's daemons.
+    Reader, ///< Reads the directory on behalf of its failure domain.
+    Registrar, ///< Keeps the complete list of the daemons of its failure domain.
 };
 
-/// Daemons of a failure domain that keep its list and hear all of it.
+/// \brief Number of registrars in a failure domain; each receives the heartbeats of all its daemons.
 inline constexpr std::size_t Registrars = 3;
 
-/// \brief A daemon that lives, as far as roles depend on it.
+/// \brief A live daemon with the properties that determine its roles.
 struct Member
 {
-    std::string vm;
+    std::string vm; ///< Name of its VM.
     std::string failureDomain;
-    double processorShare = 0; ///< Of a core; 0: not known.
+    double processorShare = 0; ///< Fraction of a core; 0 if not known.
     membership::DaemonState state = membership::DaemonState::Serving;
-    core::Address datagrams; ///< Where it takes datagrams.
-    core::Address control; ///< Where it takes requests of other daemons.
+    core::Address datagrams; ///< Address for datagrams.
+    core::Address control; ///< Address for requests of other daemons.
 };
 
-/// \brief Daemons that live, this one included, and the order in which they hold roles.
+/// \brief Live daemons, including this one, and the order in which they hold roles.
 ///
-/// Nobody is elected: daemons that hear the same others come to the same order, and two that disagree for a moment cost
-/// efficiency only. VMs with a larger share of a processor come before smaller ones (a role costs processor time that
-/// small VMs need for callers), then rendezvous hashing decides, so that a daemon that comes or goes moves few roles.
-/// Daemons that stop hold none. As schedulers, which must know of work, those that serve come before those that have
-/// just started. Readers and registrars need no past, and must not change while a fleet begins to serve; registrars are
-/// the first that may schedule once all do.
+/// There is no election: daemons that know the same members compute the same order, and a temporary disagreement costs
+/// only efficiency. VMs with a larger processor share come first, because a role costs processor time that small VMs
+/// need for callers. Rendezvous hashing breaks ties, so that few roles move when a daemon joins or leaves. Leaving
+/// daemons hold no role. A scheduler must know the work in progress, so serving daemons come before those that have
+/// just started. Readers and registrars need no such history, and must not change while a fleet starts to serve.
+/// Registrars are ordered like schedulers, and are the first candidates for that role once all daemons serve.
 class Roster
 {
 public:
     /// \param self Name of this daemon's VM.
     explicit Roster(std::string self);
 
-    /// \brief Replaces the members; this daemon is one of them.
+    /// \brief Replaces the members, which include this daemon.
     void replace(std::vector<Member> members);
-    /// \brief Notes how many daemons live in all: most of a large fleet are known by their number only.
+    /// \brief Sets the total number of live daemons; of a large fleet, most are known only as part of this count.
     void noteSize(std::size_t size) noexcept
     {
         m_size = size;
     }
 
+    /// \brief Name of this daemon's VM.
     [[nodiscard]] const std::string &self() const noexcept
     {
         return m_self;
     }
 
-    /// \brief Daemons that live, this one included, whether they are members by name or not.
+    /// \brief Number of live daemons, including this one and those that are not listed in `members`.
     [[nodiscard]] std::size_t size() const noexcept
     {
         return std::max(m_size, m_members.size());
     }
 
-    /// \brief Holders of a role in order, over all failure domains.
-    /// \param most Most of them.
+    /// \brief Holders of a role in all failure domains, in order of rank.
+    /// \param most Maximum number of holders to return.
     [[nodiscard]] std::vector<Member> holders(Role role, std::size_t most) const;
-    /// \brief Holders of a role in one failure domain.
+    /// \brief Holders of a role in one failure domain, in order of rank.
     [[nodiscard]] std::vector<Member> holdersIn(const std::string &failureDomain, Role role, std::size_t most) const;
-    /// \brief Whether this daemon is among the first `most` of its failure domain.
+    /// \brief Whether this daemon is among the first `most` holders of a role in its failure domain. Also true while
+    /// this daemon is not yet a member.
     [[nodiscard]] bool holdsAtHome(Role role, std::size_t most) const;
 
-    /// \brief Whether this daemon keeps the list of its failure domain.
+    /// \brief Whether this daemon is a registrar of its failure domain.
     [[nodiscard]] bool isRegistrar() const
     {
         return holdsAtHome(Role::Registrar, Registrars);
@@ -87,19 +89,19 @@
 
     /// \brief Failure domains that have members.
     [[nodiscard]] std::vector<std::string> failureDomains() const;
-    /// \brief How many members a predicate holds for.
+    /// \brief Number of members for which a predicate holds.
     template<typename Predicate>
     [[nodiscard]] std::size_t count(Predicate holds) const
     {
         return static_cast<std::size_t>(std::count_if(m_members.begin(), m_members.end(), holds));
     }
-    /// \brief The members by name, this daemon included: those that hold roles or would be next, and in a failure
-    /// domain whose list this daemon keeps all.
+    /// \brief Members known by name, including this daemon: the holders of roles and the next candidates and, if this
+    /// daemon is a registrar, all daemons of its failure domain.
     [[nodiscard]] const std::vector<Member> &members() const noexcept
     {
         return m_members;
     }
-    /// \brief A member; null when there is none of that name.
+    /// \brief Finds a member by VM name; null if there is none.
     [[nodiscard]] const Member *find(const std::string &vm) const;
 
 private:
--- a/include/spurlug/control/scheduler.h
+++ b/include/spurlug/control/scheduler.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one daemon's placement of the prompts of all
+// spurlug: central placement of the prompts of all daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -18,50 +18,51 @@
 
 /// \brief Places prompts for all daemons that ask this one.
 ///
-/// Answers the pattern in which many daemons see few requests each: with 295 of them a daemon sees less than one
-/// request a second, so its own counts say nothing of an engine, and loads told by all to all are half a second old at
-/// a bearable number of messages. Here the work of all comes together: each daemon reports its own when it changes,
-/// and what was granted counts from the moment of the grant. Messages grow with the requests (an ask, its answer and
-/// about two reports each), not with the pairs of daemons.
+/// In a large fleet each daemon sees few requests: with 295 daemons, less than one a second each. Its own counts then
+/// say nothing about the load of an engine, and loads exchanged between all daemons at an acceptable message rate would
+/// be half a second old. The scheduler therefore collects the work of all daemons: each daemon reports its own work
+/// when it changes, and a grant counts from the moment it is given. The number of messages grows with the requests (an
+/// ask, its answer and about two reports each), not with the pairs of daemons.
 ///
-/// The state is soft: reports replace each other and lapse, so that a scheduler that takes over knows all work within
-/// one interval of the reports. Two schedulers at once cost efficiency only. Knows no socket.
+/// The state is soft: each report replaces the previous one and expires, so that a scheduler that takes over knows all
+/// work within one report interval. Two schedulers at once cost only efficiency. The class does no network I/O.
 class Scheduler
 {
 public:
     explicit Scheduler(relay::RelayContext &context);
 
-    /// \brief Sets what is called when an ask comes to wait: `serveWaiting` should follow soon.
+    /// \brief Sets the function that is called when an ask is queued; `serveWaiting` should be called soon after.
     void onWaiting(std::function<void()> notify);
 
     /// \name Commands
     /// @{
 
-    /// \brief Takes a daemon's report, unless a newer one is known.
+    /// \brief Applies a daemon's work report, unless a newer one is known.
     void report(const WorkReport &report, core::Time now);
 
-    /// \brief Places a prompt, or keeps its ask until an engine is free for it. An ask that comes again (datagrams get
-    /// lost) gets the same answer.
+    /// \brief Places a prompt, or queues its ask until an engine is free for it. A repeated ask, sent because datagrams
+    /// get lost, gets the same answer.
     [[nodiscard]] PlacementAnswer ask(const PlacementAsk &ask, core::Time now);
 
-    /// \brief Forgets an ask, and its grant if it has one.
+    /// \brief Removes an ask, and its grant if it has one.
     void cancel(const PlacementCancel &cancel);
 
-    /// \brief Notes that a grant was used by this daemon itself, whose work is known without reports.
+    /// \brief Removes a grant that this daemon used itself, because its own work is known without reports.
     void begun(std::uint64_t grant);
 
-    /// \brief Places asks that wait: the operator's priority first, then those that can still be in time, of these
-    /// those that bear short pauses only (they hold an engine for a fraction of the time of the others), then the ones
-    /// with the least time to spare. A long prompt that is late anyway steps back while others wait that are not.
-    /// \returns The grants, by daemon.
+    /// \brief Places queued asks, ordered by the operator's priority, then asks that can still be in time before late
+    /// ones, then asks that tolerate only short gaps before others (they occupy an engine for a fraction of the time),
+    /// then by the least time to spare. A late ask of the other kind is skipped while one of its kind that can still be
+    /// in time is waiting.
+    /// \returns Pairs of a daemon's VM and its grant.
     [[nodiscard]] std::vector<std::pair<std::string, PlacementAnswer>> serveWaiting(core::Time now);
 
-    /// \brief Forgets reports, grants and asks of daemons that are not heard any more.
+    /// \brief Removes expired reports, grants and asks, as of daemons that have gone silent.
     void forgetSilent(core::Time now);
 
     /// @}
 
-    /// \brief Asks that wait for an engine.
+    /// \brief Number of asks that wait for an engine.
     [[nodiscard]] std::size_t waiting() const noexcept
     {
         return m_waiting.size();
@@ -71,14 +72,14 @@
     struct Waiting
     {
         PlacementAsk ask;
-        core::Time arrivedAt; ///< When the request came to its daemon.
-        core::Time heardAt; ///< When the ask came last.
+        core::Time arrivedAt; ///< When the caller's request arrived at its daemon.
+        core::Time heardAt; ///< When the ask was received last.
     };
 
     struct Grant
     {
         PlacementAnswer answer;
-        std::string vm; ///< Who got it.
+        std::string vm; ///< Daemon that received the grant.
         core::Time grantedAt;
     };
 
@@ -94,14 +95,16 @@
     [[nodiscard]] std::optional<PlacementAnswer> place(const PlacementAsk &ask, core::Time arrivedAt, core::Time now);
     [[nodiscard]] bool schedules(const std::string &service) const;
     void sortWaiting(core::Time now);
-    /// Time that would be left of a prompt's aim if all engines began to read it now; below 0: it will be late.
+    /// Time that would be left until a prompt's aim if as many engines as may share it began to prefill it now;
+    /// negative if it will be late.
     [[nodiscard]] core::Duration timeToSpare(const Waiting &waiting, core::Time now) const;
     void takeOutcome(const TargetOutcome &outcome, const std::string &domain, core::Time now);
-    /// Notes how an engine helped another one. One that turned help down may answer requests of its own well.
+    /// Records how an engine responded when another one asked it for help. An engine that refuses help may still answer
+    /// its own requests well.
     void noteHelp(relay::Target &target, const TargetOutcome &outcome, core::Time now);
-    /// Notes what an outcome says of the link between the two failure domains.
+    /// Records what an outcome says about the link between the two failure domains.
     void noteLink(const TargetOutcome &outcome, const std::string &domain, core::Time now);
-    /// Failure domain of a daemon; this one's where it is not known.
+    /// Failure domain named by a daemon; this daemon's if the name is empty.
     [[nodiscard]] const std::string &domainOf(const std::string &told) const;
     Grants::iterator forget(Grants::iterator grant);
 
--- a/include/spurlug/control/scheduler_client.h
+++ b/include/spurlug/control/scheduler_client.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: this daemon's dealings with the scheduler
+// spurlug: client side of the scheduler protocol
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -21,19 +21,20 @@
 namespace spurlug::control
 {
 
-/// \brief The scheduler to ask.
+/// \brief The scheduler that a daemon should use.
 struct ChosenScheduler
 {
     Member member;
-    bool deputy = false; ///< It stands in for the fleet's, and places at home only.
+    bool deputy = false; ///< It replaces the fleet's scheduler and uses only targets of this failure domain.
 };
 
-/// \brief Knows which daemon schedules, tells it this daemon's work, and carries asks and answers.
+/// \brief Selects the scheduler, reports this daemon's work to it, and transports asks and answers.
 ///
-/// The first holder of the role in the fleet schedules. One that does not answer is left aside until it says that it
-/// lives, and the second one takes its place. Where that one is silent too, as in a failure domain that is cut off, the
-/// first holder at home stands in, with the engines of that domain, so that the deputies of several domains never
-/// choose the same engine. A daemon that hears nobody, or whose request met two silent schedulers, decides alone.
+/// The first holder of the scheduler role in the fleet schedules. A scheduler that does not answer is suspected, and
+/// not used until it acknowledges a message; the second holder replaces it. If that one does not answer either, as in a
+/// partitioned failure domain, the first holder in the own failure domain becomes deputy. It uses only engines of that
+/// domain, so that the deputies of several domains never choose the same engine. A daemon that is isolated, or whose
+/// request found two unresponsive schedulers, places the prompt itself.
 class SchedulerClient
 {
 public:
@@ -45,34 +46,35 @@
     /// \name Commands
     /// @{
 
-    /// \brief Prepares an ask; its answers are posted to `inbox`.
+    /// \brief Registers a new ask, whose answers are posted to `inbox`.
     /// \returns The number of the ask.
     [[nodiscard]] std::uint64_t open(core::Ref<relay::RequestInbox> inbox);
-    /// \brief Sends an ask that was opened; the answer of this daemon's own scheduler is posted at once.
+    /// \brief Sends an open ask; the answer of this daemon's own scheduler is posted at once.
     void send(const PlacementAsk &ask, const ChosenScheduler &scheduler, core::Time now);
-    /// \brief Forgets an ask and, when it is not needed any more, tells the schedulers so.
+    /// \brief Removes an ask; unless its grant is still needed, cancels it at the schedulers.
     void close(std::uint64_t ask, bool needed);
-    /// \brief Takes a scheduler's answer.
+    /// \brief Processes a scheduler's answer.
     void take(const PlacementAnswer &answer, core::Time now);
-    /// \brief Notes that this daemon sent a request as it was granted.
+    /// \brief Notes that this daemon sent a request to the granted targets.
     void begun(const PlacementAnswer &answer);
 
-    /// \brief Leaves a scheduler aside that did not answer.
+    /// \brief Stops using a scheduler, for example because it did not answer.
+    /// \param reason Logged.
     void suspect(const std::string &vm, std::string_view reason, core::Time now);
-    /// \brief Notes that a daemon said that it lives and schedules.
+    /// \brief Notes that a daemon is alive and schedules; it may be used again.
     void trust(const std::string &vm, core::Time now);
 
-    /// \brief Notes that this daemon's work changed: it is reported soon.
+    /// \brief Notes that this daemon's work changed, so that it is reported soon.
     void workChanged();
-    /// \brief Notes how an attempt ended, or how an engine helped another one; told with the next report.
+    /// \brief Queues the result of an attempt, or of one engine's help for another, for the next report.
     void outcome(const TargetOutcome &outcome);
 
     /// @}
 
-    /// \brief Whom to ask now; nothing: this daemon decides alone.
+    /// \brief The scheduler to ask now; nothing if this daemon should place prompts itself.
     [[nodiscard]] std::optional<ChosenScheduler> scheduler() const;
 
-    /// \brief Reports this daemon's work when it changes, and now and then while there is some.
+    /// \brief Reports this daemon's work when it changes, and periodically while there is any. Never returns.
     [[nodiscard]] net::Task<> reportWork();
 
 private:
@@ -94,59 +96,59 @@
     Scheduler &m_own;
     const Send m_send;
     net::Mailbox<Changed> m_changes;
-    bool m_changed = false; ///< Whether a change waits to be reported.
-    bool m_reportedWork = false; ///< Whether the last report named work.
+    bool m_changed = false; ///< Whether a change has not been reported yet.
+    bool m_reportedWork = false; ///< Whether the last report contained work.
     std::map<std::uint64_t, core::Ref<relay::RequestInbox>> m_asks; ///< Open asks.
-    std::map<std::uint64_t, core::Address> m_askedAt; ///< Where open asks were sent last.
+    std::map<std::uint64_t, core::Address> m_askedAt; ///< Scheduler to which each open ask was sent last.
     std::map<std::string, Suspicion> m_suspects;
-    std::vector<TargetOutcome> m_outcomes; ///< Not told yet.
+    std::vector<TargetOutcome> m_outcomes; ///< Not reported yet.
     const std::uint64_t m_incarnation;
     std::uint64_t m_sequence = 0;
     std::uint64_t m_newestAsk = 0;
-    std::uint64_t m_newestGrant = 0; ///< Of the scheduler that was asked last.
+    std::uint64_t m_newestGrant = 0; ///< Newest used grant of `m_lastScheduler`.
     std::string m_lastScheduler;
 };
 
-/// \brief One request's way to a placement by the scheduler; its end cancels what was not used.
+/// \brief Obtains a placement for one request from the scheduler; the destructor cancels an ask without a usable grant.
 class PlacementSession
 {
 public:
-    /// \param client Null: there is no control plane, the daemon decides alone.
+    /// \param client Null if there is no control plane; the daemon then places the prompt itself.
     PlacementSession(relay::RelayContext &context, SchedulerClient *client, core::Ref<relay::RequestInbox> inbox);
     ~PlacementSession();
     PlacementSession(const PlacementSession &) = delete;
     PlacementSession &operator=(const PlacementSession &) = delete;
 
-    /// \brief Sends what is due now.
-    /// \param query What the request asks for, of a prompt.
-    /// \returns False when there is no scheduler to ask.
+    /// \brief Sends or repeats the ask if it is due.
+    /// \param query Requirements of the request; without a prompt no scheduler is asked.
+    /// \returns False if the daemon must place the request itself: no scheduler is available or should be asked again.
     [[nodiscard]] bool pursue(const relay::TargetQuery &query, int priority, core::Time now);
 
-    /// \brief Takes an answer.
-    /// \returns The targets, when it is a grant that this daemon can use.
+    /// \brief Processes an answer.
+    /// \returns The targets, if the answer is a grant that this daemon can use.
     [[nodiscard]] std::optional<relay::ChosenTargets> take(const PlacementAnswer &answer, core::Time now);
 
-    /// \brief When something is due next.
+    /// \brief When `pursue` should be called next.
     [[nodiscard]] core::Time dueAt() const noexcept
     {
         return m_dueAt;
     }
 
 private:
-    /// Gives the ask up; the next one is a new one.
+    /// Cancels the ask; the next `pursue` opens a new one.
     void withdraw();
     void sendTo(const ChosenScheduler &scheduler, const relay::TargetQuery &query, int priority, core::Time now);
 
     relay::RelayContext &m_context;
     SchedulerClient *m_client;
-    std::uint64_t m_ask = 0; ///< 0: none is open.
-    std::string m_scheduler; ///< Who was asked last.
-    core::Time m_askedAt = absl::InfinitePast(); ///< When it was asked first.
+    std::uint64_t m_ask = 0; ///< 0 if none is open.
+    std::string m_scheduler; ///< VM of the scheduler that was asked last.
+    core::Time m_askedAt = absl::InfinitePast(); ///< Start of the time within which it must answer.
     core::Time m_dueAt = absl::InfinitePast();
     int m_silent = 0; ///< Schedulers that did not answer this request.
-    int m_withdrawn = 0; ///< Asks that were given up after their grant.
-    bool m_queued = false; ///< Whether it said that the ask waits there.
-    bool m_unusable = false; ///< A grant named targets that this daemon must not use.
+    int m_withdrawn = 0; ///< Asks that were cancelled after their grant.
+    bool m_queued = false; ///< Whether it answered that the ask is queued.
+    bool m_unusable = false; ///< Whether a grant contained targets that this daemon cannot use.
     bool m_granted = false;
     core::Ref<relay::RequestInbox> m_inbox;
 };
--- a/include/spurlug/control/source_choice.h
+++ b/include/spurlug/control/source_choice.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whom a daemon learns configuration and targets from
+// spurlug: choice of the source of configuration and target list
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -17,40 +17,40 @@
 namespace spurlug::control
 {
 
-/// \brief A question to a source of knowledge.
+/// \brief A question to another daemon about how recent its data is.
 struct SourceQuestion
 {
-    Member source;
-    std::uint64_t number = 0;
+    Member source; ///< Daemon to ask.
+    std::uint64_t number = 0; ///< Identifies the question in its answer.
 };
 
 /// \brief Decides whether this daemon reads the directory itself, and which daemon it asks otherwise.
 ///
-/// Answers the pattern in which each daemon of a large fleet waits on the directory for itself: its calls then grow
-/// with the fleet, and cost the more the fewer requests each daemon sees. A few readers a failure domain wait on it
-/// instead; the others ask one of them several times a second. An answer counts from the moment of its question, so a
-/// reader that is paused, or a datagram that is late, makes nothing look newer than it is.
+/// If every daemon of a large fleet polled the directory, the number of calls would grow with the fleet, and their cost
+/// per request would rise the fewer requests each daemon sees. Instead, a few readers in each failure domain poll the
+/// directory, and the other daemons ask one of them several times a second. The age of an answer is counted from the
+/// sending of its question, so a paused reader or a late datagram cannot make data look newer than it is.
 ///
-/// A daemon asks the readers at home first, then one of each other failure domain. One that does not answer, or whose
-/// own knowledge is old, is passed over for a while. When all are, the daemon reads the directory itself, after a wait
-/// that is drawn at random, so that a fleet that lost its readers does not fall on the directory at once.
+/// A daemon asks the readers of its own failure domain first, then one reader of each other failure domain. A reader
+/// that does not answer, or whose data is old, is skipped for a while. If all are skipped, the daemon reads the
+/// directory itself after a random delay, so that a fleet that lost its readers does not overload the directory.
 class SourceChoice
 {
 public:
-    /// \param seed Of the random wait.
-    /// \param startedAt When this daemon's life began.
+    /// \param seed Of the random delay.
+    /// \param startedAt Start time of this daemon.
     SourceChoice(const Roster &roster, std::string failureDomain, int readersPerDomain, std::uint64_t seed,
                  core::Time startedAt);
 
     /// \name Commands
     /// @{
 
-    /// \brief The question that is due now, if any.
-    /// \param ownContact When the directory was last asked by this daemon for what it answered.
+    /// \brief Returns the question that is due now, if any.
+    /// \param ownContact When this daemon sent its last directory request that was answered.
     [[nodiscard]] std::optional<SourceQuestion> next(core::Time ownContact, core::Time now);
 
-    /// \brief Takes an answer.
-    /// \returns When its question was sent; nothing when it is not awaited (any more).
+    /// \brief Processes an answer.
+    /// \returns When its question was sent; nothing if the answer is not expected or no longer expected.
     [[nodiscard]] std::optional<core::Time> answered(const ProofAnswer &answer, core::Time now);
 
     /// @}
@@ -58,7 +58,8 @@
     /// \brief Whether this daemon should read the directory itself.
     [[nodiscard]] bool readsItself(core::Time now) const;
 
-    /// \brief Whether the last questions, to different daemons, all stayed without an answer: this daemon is cut off.
+    /// \brief Whether this daemon seems to be partitioned off: the last questions, sent to different daemons, all timed
+    /// out.
     [[nodiscard]] bool isolated() const noexcept;
 
     /// \brief Whether this daemon is one of the readers of its failure domain.
@@ -83,10 +84,10 @@
     std::mt19937_64 m_random;
     const core::Time m_startedAt;
     Asked m_asked;
-    int m_unanswered = 0; ///< Questions in a row.
+    int m_unanswered = 0; ///< Consecutive questions that timed out.
     std::map<std::string, core::Time> m_passedOverUntil;
-    core::Time m_freshAt; ///< When some other daemon's knowledge was the directory's.
-    core::Duration m_patience; ///< Age of that at which this daemon reads the directory itself.
+    core::Time m_freshAt; ///< Latest time as of which another daemon's data was current.
+    core::Duration m_patience; ///< Age of `m_freshAt` at which this daemon reads the directory itself.
 };
 
 } // namespace spurlug::control
--- a/src/control/crash_exchange.cpp
+++ b/src/control/crash_exchange.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what daemons tell each other of requests that end their targets
+// spurlug: exchange of crash records between daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -16,16 +16,17 @@
 namespace
 {
 
-constexpr std::size_t Keepers = 3; // The fact is told while one of them lives.
-constexpr std::size_t EndsToTellAll = 2; // Innocent work seldom sees two, and the third decides.
+constexpr std::size_t Keepers = 3; // Records are passed on as long as one of them is up.
+constexpr std::size_t EndsToTellAll = 2; // Harmless content rarely reaches two; the third quarantines.
 constexpr std::size_t MostInDatagram = 16;
 constexpr auto GossipPause = absl::Milliseconds(250);
-/// Ends below the quarantine are passed on for as long: what they belong to comes within moments or not at all.
+/// Suspects below the quarantine threshold are passed on for this long: the other crashes of the same content follow
+/// within moments or not at all.
 constexpr auto GossipSpan = absl::Seconds(10);
 
 bool concernsAll(const relay::CrashSuspect &suspect)
 {
-    return suspect.mostEnds >= EndsToTellAll; // Also once it ran well: a quarantine may have to be lifted.
+    return suspect.mostEnds >= EndsToTellAll; // Also after a success: a quarantine may have to be lifted.
 }
 
 std::vector<relay::CrashSuspect> forAll(const std::vector<relay::CrashSuspect> &changes)
@@ -128,7 +129,7 @@
     if (refuted || isKeeper()) {
         tellChanges(now);
     } else {
-        tellDomain(now); // Whoever told it knows the daemons of its own failure domain, and these of each other one.
+        tellDomain(now); // The sender knows its own domain's daemons and each other domain's registrars.
     }
 }
 
--- a/src/control/messages.cpp
+++ b/src/control/messages.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: messages of the control plane between daemons
+// spurlug: control plane messages between daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -19,7 +19,7 @@
 
 using membership::clamp32;
 
-constexpr std::uint32_t Never = std::numeric_limits<std::uint32_t>::max(); // Stands for an infinite span.
+constexpr std::uint32_t Never = std::numeric_limits<std::uint32_t>::max(); // Encodes an infinite duration.
 
 std::uint32_t ms32(core::Duration span)
 {
--- a/src/control/roster.cpp
+++ b/src/control/roster.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which daemon holds which role
+// spurlug: live daemons and the assignment of roles to them
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// What a member is ordered by; the largest comes first.
+/// Sort key of a member; the largest comes first.
 using Rank = std::tuple<bool, double, std::uint64_t>;
 
 Rank rankOf(const Member &member, Role role)
@@ -72,7 +72,7 @@
 {
     const auto *own = find(m_self);
     if (own == nullptr) {
-        return true; // Nobody is known yet, not even this daemon: it cares for itself.
+        return true; // No members are known yet, so this daemon performs the role for itself.
     }
     const auto holders = holdersIn(own->failureDomain, role, most);
     return std::any_of(holders.begin(), holders.end(), [this](const Member &member) { return member.vm == m_self; });
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one daemon's placement of the prompts of all
+// spurlug: central placement of the prompts of all daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -19,17 +19,17 @@
 namespace
 {
 
-/// A daemon with work reports every half a second at the latest: three reports lost in a row mean that it is gone.
+/// A daemon with work reports at least every half second; three lost reports in a row mean that it is gone.
 constexpr auto ReportLife = absl::Milliseconds(1600);
-/// A grant whose daemon has not reported its work by then was not used, or its daemon is gone.
+/// A grant whose work is not reported within this time was not used, or its daemon is gone.
 constexpr auto GrantLife = absl::Milliseconds(800);
-constexpr auto AskLife = absl::Milliseconds(500); ///< Daemons repeat asks that wait every 150 ms.
-/// Asks of one kind that find no engine one after the other before the rest of that kind is left for the next look:
-/// they differ little, and a look costs some tens of us each.
+constexpr auto AskLife = absl::Milliseconds(500); ///< Daemons repeat queued asks every 150 ms.
+/// After this many consecutive asks of one kind (tight or not) found no engine, the rest of that kind is left for the
+/// next round: they differ little, and each attempt costs some tens of us.
 constexpr int MostVainLooks = 4;
-constexpr auto LoadAge = absl::Milliseconds(20); ///< On the way, and until both ends have come to it.
+constexpr auto LoadAge = absl::Milliseconds(20); ///< Network transit and processing delay at both ends.
 
-/// Name under which a grant's work counts beside the reports of daemons.
+/// Key under which the work of a grant is recorded, next to the VM names of reporting daemons.
 std::string grantName(std::uint64_t number)
 {
     return core::cat("grant ", number);
@@ -91,7 +91,7 @@
     const auto target = m_context.targets.withHash(outcome.target);
     const auto asker = outcome.askedBy != 0 ? m_context.targets.withHash(outcome.askedBy) : nullptr;
     if (outcome.askedBy != 0 && !asker) {
-        return; // The engine that asked has ended.
+        return; // The engine that asked is gone.
     }
     const auto &from = asker ? asker->entry.failureDomain : domain;
     const auto &to = target->entry.failureDomain;
@@ -161,7 +161,7 @@
     answer.kind = AnswerKind::Queued;
     if (known != m_waiting.end()) {
         known->heardAt = now;
-        known->ask = ask; // Other targets may be unwanted there by now.
+        known->ask = ask; // The daemon's list of unwanted targets may have changed.
         return answer;
     }
     if (auto granted = place(ask, now - ask.waited, now)) {
@@ -178,7 +178,8 @@
     const auto &ask = waiting.ask;
     const auto *spec = m_context.table->service(ask.service);
     if (spec == nullptr || !spec->engine) {
-        return absl::ZeroDuration(); // The configuration changed: it is told so when it asks again.
+        return absl::ZeroDuration(); // The configuration changed; the daemon learns of it from the answer to its next
+                                     // ask.
     }
     const auto parts = ask.tight ? 1 : m_context.settings.placement.mostHelpers + 1;
     const auto reading = relay::partMs(*spec->engine, ask.prompt.promptTokens, static_cast<std::size_t>(parts));
@@ -287,7 +288,7 @@
     sortWaiting(now);
     int vainTight = 0;
     int vainLoose = 0;
-    bool someInTimeWait = false; // Long prompts that wait for more engines to be free, and can still be in time.
+    bool someInTimeWait = false; // An ask that is not tight found no engine but can still be in time.
     for (auto waiting = m_waiting.begin(); waiting != m_waiting.end();) {
         const bool late = timeToSpare(*waiting, now) < absl::ZeroDuration();
         auto &vain = waiting->ask.tight ? vainTight : vainLoose;
--- a/src/control/scheduler_client.cpp
+++ b/src/control/scheduler_client.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: this daemon's dealings with the scheduler
+// spurlug: client side of the scheduler protocol
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -18,33 +18,33 @@
 namespace
 {
 
-/// Ways between failure domains and work at the scheduler take some ms; datagrams get lost now and then.
+/// Transit between failure domains and processing at the scheduler take some ms; datagrams are lost occasionally.
 constexpr auto AskAgainAfter = absl::Milliseconds(30);
-/// A scheduler that said nothing to two asks by then is left aside: a fifth of the shortest aim of a prompt.
+/// A scheduler that answered neither of two asks by then is suspected. This is a fifth of the shortest aim of a prompt.
 constexpr auto SuspectAfter = absl::Milliseconds(80);
-constexpr auto RepeatQueued = absl::Milliseconds(150); ///< Keeps an ask waiting; it lapses there after 500 ms.
-constexpr auto ProbeEvery = absl::Milliseconds(500); ///< Of a scheduler that was left aside.
-constexpr auto SuspectedFor = absl::Seconds(10); ///< It is asked again then, should its words have been lost.
-constexpr std::size_t InTheFleet = 2; ///< Schedulers of the whole fleet that are tried, one after the other.
-constexpr std::size_t Deputies = 2; ///< In this failure domain, after those.
-/// A request tries this many silent schedulers, then its daemon decides alone: each costs it 80 ms.
+constexpr auto RepeatQueued = absl::Milliseconds(150); ///< Keeps an ask queued; the scheduler drops it after 500 ms.
+constexpr auto ProbeEvery = absl::Milliseconds(500); ///< Interval of probes to a suspected scheduler.
+constexpr auto SuspectedFor = absl::Seconds(10); ///< It is used again then, in case its acknowledgements were lost.
+constexpr std::size_t InTheFleet = 2; ///< Schedulers of the whole fleet that are tried in turn.
+constexpr std::size_t Deputies = 2; ///< Schedulers of this failure domain that are tried after those.
+/// After this many unresponsive schedulers, the daemon places the request itself: each costs the request 80 ms.
 constexpr int MostSilent = 2;
 
-/// Pause between reports while there is work: the more daemons report to one scheduler, the longer.
+/// Interval between reports while there is work. It grows with the number of daemons that report to one scheduler.
 constexpr auto ReportPauseForEach = absl::Milliseconds(1);
 constexpr auto ShortestReportPause = absl::Milliseconds(50);
 constexpr auto LongestReportPause = absl::Milliseconds(500);
-/// Changes that follow each other are told together.
+/// Delay of a report after a change, so that changes in quick succession share one report.
 constexpr auto ChangePauseForEach = absl::Microseconds(30);
 constexpr auto ShortestChangePause = absl::Milliseconds(2);
-constexpr std::size_t MostOutcomes = 64; ///< In one report.
-constexpr std::size_t MostExcluded = 32; ///< Targets that an ask names.
-/// Targets that an ask names as unwanted: 1 KB, which a datagram carries whole. A grant of another one is turned down.
+constexpr std::size_t MostOutcomes = 64; ///< Maximum in one report.
+constexpr std::size_t MostExcluded = 32; ///< Maximum in each of the two target lists `notAt` and `onlyAt` of an ask.
+/// Maximum of unwanted targets in an ask: 1 KB, which fits into a datagram. A grant of one beyond them is rejected.
 constexpr std::size_t MostUnwanted = 256;
-constexpr int MostWithdrawn = 3; ///< Asks of one request after a grant that its daemon must not use; then it decides.
-/// Targets that a report names as leaving; a release takes a few at a time, and their entries follow within a second.
+constexpr int MostWithdrawn = 3; ///< Asks of one request cancelled after an unwanted grant; then its daemon places it.
+/// Maximum of leaving targets in a report. A release drains a few at a time, and their entries follow within a second.
 constexpr std::size_t MostLeavingTold = 32;
-constexpr std::size_t MostRatesTold = 32; ///< Targets of which an ask or a report names the rate: 0.5 KB.
+constexpr std::size_t MostRatesTold = 32; ///< Maximum of target rates in an ask or a report: 0.5 KB.
 
 std::vector<std::uint32_t> firstOf(std::vector<std::uint32_t> hashes, std::size_t most)
 {
@@ -60,7 +60,7 @@
     , m_send(std::move(send))
     , m_changes(context.loop)
     , m_incarnation(static_cast<std::uint64_t>(absl::ToUnixNanos(absl::Now())))
-    , m_newestAsk(context.random() >> 1U) // Asks of an earlier life may still be known.
+    , m_newestAsk(context.random() >> 1U) // Schedulers may still know asks of a previous run.
 { }
 
 bool SchedulerClient::suspected(const std::string &vm) const
@@ -104,7 +104,7 @@
     if (m_lastScheduler != scheduler.member.vm) {
         m_lastScheduler = scheduler.member.vm;
         m_newestGrant = 0;
-        m_send(scheduler.member.datagrams, compose(now)); // It may know nothing of this daemon's work.
+        m_send(scheduler.member.datagrams, compose(now)); // It may not know this daemon's work.
     }
     m_askedAt[ask.ask] = scheduler.member.datagrams;
     m_send(scheduler.member.datagrams, ask);
@@ -149,7 +149,7 @@
 void SchedulerClient::suspect(const std::string &vm, std::string_view reason, core::Time now)
 {
     if (!m_suspects.emplace(vm, Suspicion{now, now}).second) {
-        return; // It is known already.
+        return; // Already suspected.
     }
     m_context.metrics.count(metrics::Counter::SchedulersSuspected);
     core::log(core::LogLevel::Warning, "scheduler_left_aside", {{"vm", vm}, {"reason", reason}});
@@ -297,7 +297,7 @@
         m_askedAt = now;
         m_queued = false;
     } else if (m_queued) {
-        m_queued = false; // It must say so again.
+        m_queued = false; // It must confirm the queueing again.
         m_askedAt = now;
     }
     PlacementAsk ask;
@@ -350,7 +350,7 @@
     const auto granted = m_context.targets.withHash(answer.target);
     const bool crossed = relay::contains(unwanted, answer.target) || (granted && granted->evacuated());
     if (m_withdrawn < MostWithdrawn && crossed) {
-        withdraw(); // It came to be so since the ask was sent: the next one names it.
+        withdraw(); // The target became unwanted after the ask was sent; the next ask excludes it.
         return std::nullopt;
     }
     relay::ChosenTargets chosen;
@@ -365,12 +365,12 @@
         }
     }
     if (!whole) {
-        m_unusable = true; // One list of targets is newer than the other.
+        m_unusable = true; // The scheduler's target list differs in age from this daemon's.
         core::log(core::LogLevel::Info, "grant_unusable", {{"scheduler", answer.vm}, {"grant", answer.grant}});
         return std::nullopt;
     }
     chosen.holdingTokens = answer.holdingTokens;
-    // The others read the parts of helpers that this daemon must not use.
+    // The remaining engines prefill the parts of helpers that this daemon cannot use.
     const auto longer = static_cast<double>(answer.helpers.size() + 1) / static_cast<double>(chosen.helpers.size() + 1);
     chosen.expected = answer.expected + answer.partRead * (longer - 1);
     chosen.partRead = answer.partRead * longer;
--- a/src/control/source_choice.cpp
+++ b/src/control/source_choice.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whom a daemon learns configuration and targets from
+// spurlug: choice of the source of configuration and target list
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -15,20 +15,25 @@
 namespace
 {
 
-/// Between questions: adds a third of a second to the age of a proof, of the 3.75 s that keys work without a newer one.
+/// Interval between questions. It adds up to a third of a second to the age of a proof; API keys are accepted for 3.75
+/// s without a newer proof.
 constexpr auto QuestionPause = absl::Milliseconds(300);
-constexpr auto AnswerTimeout = absl::Milliseconds(120); ///< Ways take some ms, and a small VM answers within 50 ms.
+constexpr auto AnswerTimeout
+    = absl::Milliseconds(120); ///< A round trip takes some ms, and a small VM answers within 50 ms.
 constexpr auto PassedOverFor = absl::Seconds(2);
-/// Knowledge of a source that is older is not good enough: a reader's gets two of its waits old, 1.2 s.
+/// Data of a source that is older than this is not used. The data of a reader gets as old as two of its long polls of
+/// the directory, 1.2 s.
 constexpr auto OldAfter = absl::Milliseconds(1700);
-/// Age of all others' knowledge at which this daemon reads the directory itself, at the least.
+/// Minimum age of the other daemons' data at which this daemon reads the directory itself.
 constexpr auto LeastPatience = absl::Milliseconds(2000);
-/// A daemon that starts hears of a reader within some tens of ms, if there is any; so long it does not read itself.
+/// A starting daemon does not read the directory itself for this long: it learns of a reader within some tens of ms if
+/// there is one.
 constexpr auto StartPatience = absl::Milliseconds(300);
-/// A daemon that starts has the first answer to its heartbeats sooner, if anybody lives; then it knows the reader.
+/// A starting daemon gets the first answer to its heartbeats within this time if any other daemon is up; it then knows
+/// the reader.
 constexpr auto FirstAnswerSpan = absl::Milliseconds(40);
-constexpr int UnansweredWhenCutOff = 3; ///< Readers of three failure domains, mostly.
-/// Beyond that, for each daemon of the fleet: spreads their calls.
+constexpr int UnansweredWhenCutOff = 3; ///< Usually readers of three failure domains.
+/// Upper bound of the random delay added to LeastPatience, per daemon of the fleet; it spreads their calls.
 constexpr auto PatienceForEach = absl::Milliseconds(8);
 
 } // namespace
@@ -65,7 +70,7 @@
 std::vector<Member> SourceChoice::sources() const
 {
     auto all = m_roster.holdersIn(m_failureDomain, Role::Reader, m_readersPerDomain);
-    // Daemons of one failure domain begin with different ones: a lost domain's load spreads.
+    // Daemons of one failure domain try the other domains in different orders, which spreads the load of a lost domain.
     const auto domains = core::rankByRendezvous(m_roster.self(), m_roster.failureDomains());
     for (const auto &domain : domains) {
         if (domain != m_failureDomain) {
@@ -96,7 +101,7 @@
 std::optional<SourceQuestion> SourceChoice::next(core::Time ownContact, core::Time now)
 {
     if (isReader() && now - ownContact <= OldAfter) {
-        return std::nullopt; // This daemon's own knowledge is new.
+        return std::nullopt; // This daemon's own data is recent.
     }
     if (m_asked.open && now - m_asked.at >= AnswerTimeout) {
         m_asked.open = false;
@@ -124,7 +129,7 @@
     const auto freshAt = askedAt - answer.contactAge;
     if (now - freshAt > OldAfter) {
         passOver(answer.vm, now);
-        m_asked.at = absl::InfinitePast(); // The next one is asked at once.
+        m_asked.at = absl::InfinitePast(); // The next source is asked at once.
     }
     if (freshAt > m_freshAt) {
         m_freshAt = freshAt;
