--- a/include/spurlug/control/messages.h
+++ b/include/spurlug/control/messages.h
@@ -60,7 +60,7 @@
     std::uint64_t ask = 0; ///< Number of the request, unique for the sender.
     std::string service;
     relay::PromptFacts prompt;
-    core::Duration aim = absl::ZeroDuration(); ///< Time from arrival by which the first event should come.
+    core::Duration aim = absl::ZeroDuration(); ///< Time from arrival within which the first event should come.
     bool tight = true; ///< Whether its stream tolerates only short gaps between tokens.
     core::Duration waited = absl::ZeroDuration(); ///< Time since the prompt arrived, as of sending.
     core::Duration patience = absl::InfiniteDuration(); ///< Time from arrival until the caller is likely to give up.
@@ -105,15 +105,15 @@
 /// \brief Asks a daemon how recent its configuration and target list are.
 struct ProofQuestion
 {
-    std::uint64_t number = 0; ///< Returned in the answer.
+    std::uint64_t number = 0; ///< Returned in the reply.
 };
 
-/// \brief How recent a daemon's configuration and target list are. Ages are as of the moment of the answer; an infinite
+/// \brief How recent a daemon's configuration and target list are. Ages are as of the moment of the reply; an infinite
 /// age means never.
 struct ProofAnswer
 {
-    std::string vm; ///< Sender of the answer.
-    std::uint64_t number = 0; ///< Of the question.
+    std::string vm; ///< Sender of the reply.
+    std::uint64_t number = 0; ///< Of the query.
     std::int64_t version = 0; ///< Of the configuration in force at the sender; 0 if there is none.
     core::Duration proofAge = absl::InfiniteDuration(); ///< Of the proof that this version is the newest.
     /// Time since the sending of the last directory request that was answered.
--- a/include/spurlug/control/scheduler.h
+++ b/include/spurlug/control/scheduler.h
@@ -22,7 +22,7 @@
 /// say nothing about the load of an engine, and loads exchanged between all daemons at an acceptable message rate would
 /// be half a second old. The scheduler therefore collects the work of all daemons: each daemon reports its own work
 /// when it changes, and a grant counts from the moment it is given. The number of messages grows with the requests (an
-/// ask, its answer and about two reports each), not with the pairs of daemons.
+/// placement request, its reply and about two reports each), not with the pairs of daemons.
 ///
 /// The state is soft: each report replaces the previous one and expires, so that a scheduler that takes over knows all
 /// work within one report interval. Two schedulers at once cost only efficiency. The class does no network I/O.
@@ -31,7 +31,7 @@
 public:
     explicit Scheduler(relay::RelayContext &context);
 
-    /// \brief Sets the function that is called when an ask is queued; `serveWaiting` should be called soon after.
+    /// \brief Sets the callback for a newly queued request, after which `serveWaiting` should be called soon.
     void onWaiting(std::function<void()> notify);
 
     /// \name Commands
@@ -40,29 +40,28 @@
     /// \brief Applies a daemon's work report, unless a newer one is known.
     void report(const WorkReport &report, core::Time now);
 
-    /// \brief Places a prompt, or queues its ask until an engine is free for it. A repeated ask, sent because datagrams
-    /// get lost, gets the same answer.
+    /// \brief Places a prompt, or queues its request until an engine is free for it. A repeated request, sent because
+    /// datagrams get lost, gets the same reply.
     [[nodiscard]] PlacementAnswer ask(const PlacementAsk &ask, core::Time now);
 
-    /// \brief Removes an ask, and its grant if it has one.
+    /// \brief Removes a request, and its grant if it has one.
     void cancel(const PlacementCancel &cancel);
 
     /// \brief Removes a grant that this daemon used itself, because its own work is known without reports.
     void begun(std::uint64_t grant);
 
-    /// \brief Places queued asks, ordered by the operator's priority, then asks that can still be in time before late
-    /// ones, then asks that tolerate only short gaps before others (they occupy an engine for a fraction of the time),
-    /// then by the least time to spare. A late ask that tolerates longer gaps is skipped while another of that kind can
-    /// still be in time.
-    /// \returns Pairs of a daemon's VM and its grant.
+    /// \brief Places queued requests, ordered by the operator's priority; then those that can still be in time before
+    /// late ones; then those that tolerate only short gaps before others, because they occupy an engine for a fraction
+    /// of the time; then by the least time to spare. A late request that tolerates longer gaps is skipped while another
+    /// of that kind can still be in time. \returns Pairs of a daemon's VM and its grant.
     [[nodiscard]] std::vector<std::pair<std::string, PlacementAnswer>> serveWaiting(core::Time now);
 
-    /// \brief Removes expired reports, grants and asks, as of daemons that have gone silent.
+    /// \brief Removes expired reports, grants and requests, such as those of daemons that have gone silent.
     void forgetSilent(core::Time now);
 
     /// @}
 
-    /// \brief Number of asks that wait for an engine.
+    /// \brief Number of requests that wait for an engine.
     [[nodiscard]] std::size_t waiting() const noexcept
     {
         return m_waiting.size();
@@ -73,7 +72,7 @@
     {
         PlacementAsk ask;
         core::Time arrivedAt; ///< When the caller's request arrived at its daemon.
-        core::Time heardAt; ///< When the ask was received last.
+        core::Time heardAt; ///< When the request was received last.
     };
 
     struct Grant
@@ -95,8 +94,8 @@
     [[nodiscard]] std::optional<PlacementAnswer> place(const PlacementAsk &ask, core::Time arrivedAt, core::Time now);
     [[nodiscard]] bool schedules(const std::string &service) const;
     void sortWaiting(core::Time now);
-    /// Time that would be left until a prompt's aim if as many engines as may share it began to prefill it now;
-    /// negative if it will be late.
+    /// Time that would be left until the first event of a prompt is due if as many engines as may share it began to
+    /// prefill it now; negative if it will be late.
     [[nodiscard]] core::Duration timeToSpare(const Waiting &waiting, core::Time now) const;
     void takeOutcome(const TargetOutcome &outcome, const std::string &domain, core::Time now);
     /// Records how an engine responded when another one asked it for help. An engine that refuses help may still answer
--- a/include/spurlug/control/scheduler_client.h
+++ b/include/spurlug/control/scheduler_client.h
@@ -28,13 +28,13 @@
     bool deputy = false; ///< It replaces the fleet's scheduler and uses only targets of this failure domain.
 };
 
-/// \brief Selects the scheduler, reports this daemon's work to it, and transports asks and answers.
+/// \brief Selects the scheduler, reports this daemon's work to it, and transports placement requests and replies.
 ///
 /// The first holder of the scheduler role in the fleet schedules. A scheduler that does not answer is suspected, and
 /// not used until it acknowledges a message; the second holder replaces it. If that one does not answer either, as in a
-/// partitioned failure domain, the first holder in the own failure domain becomes deputy. It uses only engines of that
-/// domain, so that the deputies of several domains never choose the same engine. A daemon that is isolated, or whose
-/// request found two unresponsive schedulers, places the prompt itself.
+/// partitioned failure domain, the first holder in the own failure domain acts as fallback. It uses only engines of
+/// that domain, so that the fallback schedulers of several domains never choose the same engine. A daemon that is
+/// isolated, or whose request found two unresponsive schedulers, places the prompt itself.
 class SchedulerClient
 {
 public:
@@ -46,14 +46,14 @@
     /// \name Commands
     /// @{
 
-    /// \brief Registers a new ask, whose answers are posted to `inbox`.
-    /// \returns The number of the ask.
+    /// \brief Registers a new placement request, whose replies are posted to `inbox`.
+    /// \returns The number of the placement request.
     [[nodiscard]] std::uint64_t open(core::Ref<relay::RequestInbox> inbox);
-    /// \brief Sends an open ask; the answer of this daemon's own scheduler is posted at once.
+    /// \brief Sends an open placement request; the reply of this daemon's own scheduler is posted at once.
     void send(const PlacementAsk &ask, const ChosenScheduler &scheduler, core::Time now);
-    /// \brief Removes an ask; unless its grant is still needed, cancels it at the schedulers.
+    /// \brief Removes a placement request; unless its grant is still needed, cancels it at the schedulers.
     void close(std::uint64_t ask, bool needed);
-    /// \brief Processes a scheduler's answer.
+    /// \brief Processes a scheduler's reply.
     void take(const PlacementAnswer &answer, core::Time now);
     /// \brief Notes that this daemon sent a request to the granted targets.
     void begun(const PlacementAnswer &answer);
@@ -98,8 +98,8 @@
     net::Mailbox<Changed> m_changes;
     bool m_changed = false; ///< Whether a change has not been reported yet.
     bool m_reportedWork = false; ///< Whether the last report contained work.
-    std::map<std::uint64_t, core::Ref<relay::RequestInbox>> m_asks; ///< Open asks.
-    std::map<std::uint64_t, core::Address> m_askedAt; ///< Scheduler to which each open ask was sent last.
+    std::map<std::uint64_t, core::Ref<relay::RequestInbox>> m_asks; ///< Open placement requests.
+    std::map<std::uint64_t, core::Address> m_askedAt; ///< Scheduler to which each open placement request was sent last.
     std::map<std::string, Suspicion> m_suspects;
     std::vector<TargetOutcome> m_outcomes; ///< Not reported yet.
     const std::uint64_t m_incarnation;
@@ -109,7 +109,7 @@
     std::string m_lastScheduler;
 };
 
-/// \brief Obtains a placement for one request from the scheduler; the destructor cancels an ask without a usable grant.
+/// \brief Obtains a placement for one request from the scheduler; the destructor cancels it unless a grant is used.
 class PlacementSession
 {
 public:
@@ -119,13 +119,13 @@
     PlacementSession(const PlacementSession &) = delete;
     PlacementSession &operator=(const PlacementSession &) = delete;
 
-    /// \brief Sends or repeats the ask if it is due.
+    /// \brief Sends or repeats the placement request if it is due.
     /// \param query Requirements of the request; without a prompt no scheduler is asked.
     /// \returns False if the daemon must place the request itself: no scheduler is available or should be asked again.
     [[nodiscard]] bool pursue(const relay::TargetQuery &query, int priority, core::Time now);
 
-    /// \brief Processes an answer.
-    /// \returns The targets, if the answer is a grant that this daemon can use.
+    /// \brief Processes a reply.
+    /// \returns The targets, if the reply is a grant that this daemon can use.
     [[nodiscard]] std::optional<relay::ChosenTargets> take(const PlacementAnswer &answer, core::Time now);
 
     /// \brief When `pursue` should be called next.
@@ -135,7 +135,7 @@
     }
 
 private:
-    /// Cancels the ask; the next `pursue` opens a new one.
+    /// Cancels the placement request; the next `pursue` opens a new one.
     void withdraw();
     void sendTo(const ChosenScheduler &scheduler, const relay::TargetQuery &query, int priority, core::Time now);
 
@@ -146,8 +146,8 @@
     core::Time m_askedAt = absl::InfinitePast(); ///< Start of the time within which it must answer.
     core::Time m_dueAt = absl::InfinitePast();
     int m_silent = 0; ///< Schedulers that did not answer this request.
-    int m_withdrawn = 0; ///< Asks that were cancelled after their grant.
-    bool m_queued = false; ///< Whether it answered that the ask is queued.
+    int m_withdrawn = 0; ///< Placement requests that were cancelled after their grant.
+    bool m_queued = false; ///< Whether it replied that the request is queued.
     bool m_unusable = false; ///< Whether a grant contained targets that this daemon cannot use.
     bool m_granted = false;
     core::Ref<relay::RequestInbox> m_inbox;
--- a/include/spurlug/control/source_choice.h
+++ b/include/spurlug/control/source_choice.h
@@ -17,19 +17,19 @@
 namespace spurlug::control
 {
 
-/// \brief A question to another daemon about how recent its data is.
+/// \brief A query to another daemon about how recent its data is.
 struct SourceQuestion
 {
     Member source; ///< Daemon to ask.
-    std::uint64_t number = 0; ///< Identifies the question in its answer.
+    std::uint64_t number = 0; ///< Identifies the query in its reply.
 };
 
 /// \brief Decides whether this daemon reads the directory itself, and which daemon it asks otherwise.
 ///
 /// If every daemon of a large fleet polled the directory, the number of calls would grow with the fleet, and their cost
 /// per request would rise the fewer requests each daemon sees. Instead, a few readers in each failure domain poll the
-/// directory, and the other daemons ask one of them several times a second. The age of an answer is counted from the
-/// sending of its question, so a paused reader or a late datagram cannot make data look newer than it is.
+/// directory, and the other daemons ask one of them several times a second. The age of a reply is counted from the
+/// sending of its query, so a paused reader or a late datagram cannot make data look newer than it is.
 ///
 /// A daemon asks the readers of its own failure domain first, then one reader of each other failure domain. A reader
 /// that does not answer, or whose data is old, is skipped for a while. If all are skipped, the daemon reads the
@@ -45,12 +45,12 @@
     /// \name Commands
     /// @{
 
-    /// \brief Returns the question that is due now, if any.
+    /// \brief Returns the query that is due now, if any.
     /// \param ownContact When this daemon sent its last directory request that was answered.
     [[nodiscard]] std::optional<SourceQuestion> next(core::Time ownContact, core::Time now);
 
-    /// \brief Processes an answer.
-    /// \returns When its question was sent; nothing if the answer is not expected or no longer expected.
+    /// \brief Processes a reply.
+    /// \returns When its query was sent; nothing if the reply is not expected or no longer expected.
     [[nodiscard]] std::optional<core::Time> answered(const ProofAnswer &answer, core::Time now);
 
     /// @}
@@ -58,7 +58,7 @@
     /// \brief Whether this daemon should read the directory itself.
     [[nodiscard]] bool readsItself(core::Time now) const;
 
-    /// \brief Whether this daemon seems to be partitioned off: the last questions, sent to different daemons, all timed
+    /// \brief Whether this daemon seems to be partitioned off: the last queries, sent to different daemons, all timed
     /// out.
     [[nodiscard]] bool isolated() const noexcept;
 
@@ -84,7 +84,7 @@
     std::mt19937_64 m_random;
     const core::Time m_startedAt;
     Asked m_asked;
-    int m_unanswered = 0; ///< Consecutive questions that timed out.
+    int m_unanswered = 0; ///< Consecutive queries that timed out.
     std::map<std::string, core::Time> m_passedOverUntil;
     core::Time m_freshAt; ///< Latest time as of which another daemon's data was current.
     core::Duration m_patience; ///< Age of `m_freshAt` at which this daemon reads the directory itself.
--- a/include/spurlug/grants/broker.h
+++ b/include/spurlug/grants/broker.h
@@ -40,17 +40,17 @@
 struct BrokerRule
 {
     core::Duration grantTtl = absl::Seconds(6); ///< A grant that is not renewed expires after this time.
-    core::Duration askTtl = absl::Seconds(4); ///< An ask that is not repeated expires after this time.
+    core::Duration askTtl = absl::Seconds(4); ///< A request that is not repeated expires after this time.
     core::Duration reportStale = absl::Seconds(3); ///< Engines with an older report are not granted.
-    double agingTokensPerSecond = 20'000; ///< Weighted tokens that a second of waiting takes off an ask's rank.
+    double agingTokensPerSecond = 20'000; ///< Weighted tokens that a second of waiting takes off a request's rank.
 };
 
 /// \brief State machine of the broker of one pool in one failure domain; does no I/O.
 ///
-/// Asks are served by weighted fair queueing over organisations: the ask whose organisation was served the fewest
-/// tokens relative to its weight comes first, and waiting improves the rank, so that no ask starves. A smaller ask
-/// never overtakes the first one in that order: engines that become free are kept for it. All state is soft: waiting
-/// daemons repeat their asks, and the engines' own reservations are authoritative for memory.
+/// Requests are served by weighted fair queueing over organisations: the request whose organisation was served the
+/// fewest tokens relative to its weight comes first, and waiting improves the rank, so that no request starves. A
+/// smaller request never overtakes the first one in that order: engines that become free are kept for it. All state is
+/// soft: waiting daemons repeat their requests, and the engines' own reservations are authoritative for memory.
 class Broker
 {
 public:
@@ -60,13 +60,13 @@
     /// \name Commands
     /// @{
 
-    /// \brief Queues an ask, or refreshes it if it is already queued. Ignored if the request has a grant.
+    /// \brief Queues a request, or refreshes it if it is already queued. Ignored if the request has a grant.
     void ask(const Ask &ask, core::Time now);
 
-    /// \brief Removes an ask from the queue.
+    /// \brief Removes a request from the queue.
     void withdraw(const std::string &requestId);
 
-    /// \brief Removes expired asks and grants, then grants engines to as many asks as possible, in order.
+    /// \brief Removes expired requests and grants, then grants engines to as many requests as possible, in order.
     /// \param engines The pool's engines in this failure domain.
     /// \param longShare Maximum fraction of the usable engines that long prompts may occupy. A group that needs more is
     /// granted only while no other grant exists.
@@ -86,10 +86,10 @@
     /// \brief The grant of a request, if it has one.
     [[nodiscard]] std::optional<Grant> grantOf(const std::string &requestId) const;
 
-    /// \brief Number of asks ahead of this request's; the number of all asks if it is not queued.
+    /// \brief Number of requests ahead of this request's; the number of all requests if it is not queued.
     [[nodiscard]] std::size_t place(const std::string &requestId, core::Time now) const;
 
-    /// \brief Number of queued asks.
+    /// \brief Number of queued requests.
     [[nodiscard]] std::size_t waiting() const noexcept;
 
     /// \brief Number of engines occupied by grants.
--- a/include/spurlug/grants/broker_host.h
+++ b/include/spurlug/grants/broker_host.h
@@ -20,14 +20,14 @@
 namespace spurlug::grants
 {
 
-/// \brief A broker's answer to an ask.
+/// \brief A broker's answer to a request.
 struct AskAnswer
 {
     std::optional<Grant> grant; ///< Empty if the wait ended without a grant.
-    std::size_t place = 0; ///< Number of asks ahead in the queue.
+    std::size_t place = 0; ///< Number of requests ahead in the queue.
 };
 
-/// \brief Runs the brokers of several pools and answers their asks. Thread-safe.
+/// \brief Runs the brokers of several pools and answers their requests. Thread-safe.
 ///
 /// Lock order: `m_mutex` before TargetTable's.
 class BrokerHost
@@ -35,16 +35,16 @@
 public:
     /// \brief Returns the configuration in force; null if there is none.
     using CurrentConfiguration = std::function<config::ConfigurationRef()>;
-    /// \brief Receives the answer to an ask.
+    /// \brief Receives the answer to a request.
     using OnAnswer = std::function<void(const AskAnswer &)>;
 
     BrokerHost(const targets::TargetTable &table, CurrentConfiguration configuration, std::string failureDomain);
-    /// Answers the asks that still wait, without a grant.
+    /// Answers the requests that still wait, without a grant.
     ~BrokerHost();
     BrokerHost(const BrokerHost &) = delete;
     BrokerHost &operator=(const BrokerHost &) = delete;
 
-    /// \brief Queues an ask; `onAnswer` is called once, when it is granted or after `wait`.
+    /// \brief Queues a request; `onAnswer` is called once, when it is granted or after `wait`.
     void ask(const std::string &pool, const Ask &ask, core::Duration wait, OnAnswer onAnswer, core::Time now)
         ABSL_LOCKS_EXCLUDED(m_mutex);
 
@@ -54,7 +54,7 @@
     /// \brief Ends a grant.
     void release(std::uint64_t grantId) ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Number of queued asks of all pools.
+    /// \brief Number of queued requests of all pools.
     [[nodiscard]] std::size_t waiting() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
--- a/include/spurlug/grants/grant_source.h
+++ b/include/spurlug/grants/grant_source.h
@@ -25,7 +25,7 @@
 
 /// \brief Acquires a grant from the pool's broker, local or remote.
 ///
-/// The arguments are the pool, the ask and the maximum wait. The result is empty if the wait ended without a grant.
+/// The arguments are the pool, the request and the maximum wait. The result is empty if the wait ended without a grant.
 /// \throws NetworkError if the broker does not answer.
 using AcquireGrant = std::function<std::optional<Granted>(const std::string &, const Ask &, core::Duration)>;
 
--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -23,9 +23,9 @@
 constexpr auto ReportLife = absl::Milliseconds(1600);
 /// A grant whose work is not reported within this time was not used, or its daemon is gone.
 constexpr auto GrantLife = absl::Milliseconds(800);
-constexpr auto AskLife = absl::Milliseconds(500); ///< Daemons repeat queued asks every 150 ms.
-/// After this many consecutive asks of one kind (tight or not) found no engine, the rest of that kind is left for the
-/// next round: they differ little, and each attempt costs some tens of us.
+constexpr auto AskLife = absl::Milliseconds(500); ///< Daemons repeat queued requests every 150 ms.
+/// After this many consecutive requests found no engine, the rest of their kind (with or without the need for short
+/// gaps) is left for the next round: they differ little, and each attempt costs some tens of us.
 constexpr int MostVainLooks = 4;
 constexpr auto LoadAge = absl::Milliseconds(20); ///< Network transit and processing delay at both ends.
 
@@ -178,8 +178,7 @@
     const auto &ask = waiting.ask;
     const auto *spec = m_context.table->service(ask.service);
     if (spec == nullptr || !spec->engine) {
-        return absl::ZeroDuration(); // The configuration changed; the daemon learns of it from the answer to its next
-                                     // ask.
+        return absl::ZeroDuration(); // The configuration changed; the reply to a repeated request says so.
     }
     const auto parts = ask.tight ? 1 : m_context.settings.placement.mostHelpers + 1;
     const auto reading = relay::partMs(*spec->engine, ask.prompt.promptTokens, static_cast<std::size_t>(parts));
@@ -288,7 +287,7 @@
     sortWaiting(now);
     int vainTight = 0;
     int vainLoose = 0;
-    bool someInTimeWait = false; // An ask that is not tight found no engine but can still be in time.
+    bool someInTimeWait = false; // A request that tolerates longer gaps found no engine, but can still be in time.
     for (auto waiting = m_waiting.begin(); waiting != m_waiting.end();) {
         const bool late = timeToSpare(*waiting, now) < absl::ZeroDuration();
         auto &vain = waiting->ask.tight ? vainTight : vainLoose;
--- a/src/control/scheduler_client.cpp
+++ b/src/control/scheduler_client.cpp
@@ -20,9 +20,10 @@
 
 /// Transit between failure domains and processing at the scheduler take some ms; datagrams are lost occasionally.
 constexpr auto AskAgainAfter = absl::Milliseconds(30);
-/// A scheduler that answered neither of two asks by then is suspected. This is a fifth of the shortest aim of a prompt.
+/// A scheduler that answered neither of two requests by then is suspected. This is a fifth of the shortest time within
+/// which the first event of a prompt should come.
 constexpr auto SuspectAfter = absl::Milliseconds(80);
-constexpr auto RepeatQueued = absl::Milliseconds(150); ///< Keeps an ask queued; the scheduler drops it after 500 ms.
+constexpr auto RepeatQueued = absl::Milliseconds(150); ///< Keeps a request queued; it expires there after 500 ms.
 constexpr auto ProbeEvery = absl::Milliseconds(500); ///< Interval of probes to a suspected scheduler.
 constexpr auto SuspectedFor = absl::Seconds(10); ///< It is used again then, in case its acknowledgements were lost.
 constexpr std::size_t InTheFleet = 2; ///< Schedulers of the whole fleet that are tried in turn.
@@ -38,13 +39,15 @@
 constexpr auto ChangePauseForEach = absl::Microseconds(30);
 constexpr auto ShortestChangePause = absl::Milliseconds(2);
 constexpr std::size_t MostOutcomes = 64; ///< Maximum in one report.
-constexpr std::size_t MostExcluded = 32; ///< Maximum in each of the two target lists `notAt` and `onlyAt` of an ask.
-/// Maximum of unwanted targets in an ask: 1 KB, which fits into a datagram. A grant of one beyond them is rejected.
+constexpr std::size_t MostExcluded = 32; ///< Maximum length of each of the lists `notAt` and `onlyAt` of a request.
+/// Maximum length of the list `unwanted` of a request: 1 KB, which fits into a datagram. A grant of an unwanted target
+/// beyond the list is rejected.
 constexpr std::size_t MostUnwanted = 256;
-constexpr int MostWithdrawn = 3; ///< Asks of one request cancelled after an unwanted grant; then its daemon places it.
+/// Placement requests that are cancelled after an unwanted grant before the daemon places the caller's request itself.
+constexpr int MostWithdrawn = 3;
 /// Maximum of leaving targets in a report. A release drains a few at a time, and their entries follow within a second.
 constexpr std::size_t MostLeavingTold = 32;
-constexpr std::size_t MostRatesTold = 32; ///< Maximum of target rates in an ask or a report: 0.5 KB.
+constexpr std::size_t MostRatesTold = 32; ///< Maximum of target rates in a placement request or a report: 0.5 KB.
 
 std::vector<std::uint32_t> firstOf(std::vector<std::uint32_t> hashes, std::size_t most)
 {
@@ -60,7 +63,7 @@
     , m_send(std::move(send))
     , m_changes(context.loop)
     , m_incarnation(static_cast<std::uint64_t>(absl::ToUnixNanos(absl::Now())))
-    , m_newestAsk(context.random() >> 1U) // Schedulers may still know asks of a previous run.
+    , m_newestAsk(context.random() >> 1U) // Schedulers may still know placement requests of a previous run.
 { }
 
 bool SchedulerClient::suspected(const std::string &vm) const
@@ -350,7 +353,7 @@
     const auto granted = m_context.targets.withHash(answer.target);
     const bool crossed = relay::contains(unwanted, answer.target) || (granted && granted->evacuated());
     if (m_withdrawn < MostWithdrawn && crossed) {
-        withdraw(); // The target became unwanted after the ask was sent; the next ask excludes it.
+        withdraw(); // The target became unwanted after the request was sent; the next one names it.
         return std::nullopt;
     }
     relay::ChosenTargets chosen;
--- a/src/control/source_choice.cpp
+++ b/src/control/source_choice.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// Interval between questions. It adds up to a third of a second to the age of a proof; API keys are accepted for 3.75
+/// Interval between queries. It adds up to a third of a second to the age of a proof; API keys are accepted for 3.75
 /// s without a newer proof.
 constexpr auto QuestionPause = absl::Milliseconds(300);
 constexpr auto AnswerTimeout
