--- a/include/spurlug/control/scheduler.h
+++ b/include/spurlug/control/scheduler.h
@@ -21,7 +21,7 @@
 /// In a large fleet each daemon sees few requests: with 295 daemons, less than one a second each. Its own counts then
 /// say nothing about the load of an engine, and loads exchanged between all daemons at an acceptable message rate would
 /// be half a second old. The scheduler therefore collects the work of all daemons: each daemon reports its own work
-/// when it changes, and a grant counts from the moment it is given. The number of messages grows with the requests (an
+/// when it changes, and a grant counts from the moment it is given. The number of messages grows with the requests (a
 /// placement request, its reply and about two reports each), not with the pairs of daemons.
 ///
 /// The state is soft: each report replaces the previous one and expires, so that a scheduler that takes over knows all
@@ -53,7 +53,8 @@
     /// \brief Places queued requests, ordered by the operator's priority; then those that can still be in time before
     /// late ones; then those that tolerate only short gaps before others, because they occupy an engine for a fraction
     /// of the time; then by the least time to spare. A late request that tolerates longer gaps is skipped while another
-    /// of that kind can still be in time. \returns Pairs of a daemon's VM and its grant.
+    /// of that kind can still be in time.
+    /// \returns Pairs of a daemon's VM and its grant.
     [[nodiscard]] std::vector<std::pair<std::string, PlacementAnswer>> serveWaiting(core::Time now);
 
     /// \brief Removes expired reports, grants and requests, such as those of daemons that have gone silent.
--- a/include/spurlug/control/scheduler_client.h
+++ b/include/spurlug/control/scheduler_client.h
@@ -30,11 +30,11 @@
 
 /// \brief Selects the scheduler, reports this daemon's work to it, and transports placement requests and replies.
 ///
-/// The first holder of the scheduler role in the fleet schedules. A scheduler that does not answer is suspected, and
-/// not used until it acknowledges a message; the second holder replaces it. If that one does not answer either, as in a
-/// partitioned failure domain, the first holder in the own failure domain acts as fallback. It uses only engines of
-/// that domain, so that the fallback schedulers of several domains never choose the same engine. A daemon that is
-/// isolated, or whose request found two unresponsive schedulers, places the prompt itself.
+/// The first holder of the scheduler role in the fleet schedules. A scheduler that does not answer is suspected:
+/// the second holder replaces it until it answers again or 10 s have passed. If that one does not answer either, as in
+/// a partitioned failure domain, the first holder in this failure domain acts as fallback. It uses only engines of that
+/// domain, so that the fallback schedulers of several domains never choose the same engine. A daemon that is isolated,
+/// or whose request found two unresponsive schedulers, places the prompt itself.
 class SchedulerClient
 {
 public:
@@ -51,7 +51,7 @@
     [[nodiscard]] std::uint64_t open(core::Ref<relay::RequestInbox> inbox);
     /// \brief Sends an open placement request; the reply of this daemon's own scheduler is posted at once.
     void send(const PlacementAsk &ask, const ChosenScheduler &scheduler, core::Time now);
-    /// \brief Removes a placement request; unless its grant is still needed, cancels it at the schedulers.
+    /// \brief Removes a placement request; unless its grant is used, cancels it at the schedulers.
     void close(std::uint64_t ask, bool needed);
     /// \brief Processes a scheduler's reply.
     void take(const PlacementAnswer &answer, core::Time now);
--- a/include/spurlug/limits/token_bucket.h
+++ b/include/spurlug/limits/token_bucket.h
@@ -27,7 +27,8 @@
     }
 
     /// \brief Takes units. More units than the burst are granted when the bucket is full; its level then becomes
-    /// negative and must be refilled first. \returns False, without taking any, if there are not enough units.
+    /// negative and must be refilled first.
+    /// \returns False, without taking any, if there are not enough units.
     [[nodiscard]] bool take(double units, core::Time now)
     {
         refill(now);
--- a/include/spurlug/routing/choose.h
+++ b/include/spurlug/routing/choose.h
@@ -33,10 +33,8 @@
     /// been measured.
     core::Duration affinityBonus = absl::ZeroDuration();
     double tieShare = 0.10; ///< Targets that exceed the best time by at most this fraction count as equal.
-    core::Duration tieSpan
-        = core::fromMs(5); ///< Targets that exceed the best time by at most this span count as equal.
-    core::Duration spillAfter
-        = core::fromMs(250); ///< Expected time in this failure domain beyond which others are considered.
+    core::Duration tieSpan = core::fromMs(5); ///< Targets that exceed the best time by at most this count as equal.
+    core::Duration spillAfter = core::fromMs(250); ///< Expected time at home beyond which other domains are considered.
     core::Duration spillPenalty = core::fromMs(50); ///< Added to the expected time in another failure domain.
     core::Duration remoteFresh = absl::Seconds(20); ///< Maximum age of a usable report from another failure domain.
     config::RoutingStrategy strategy = config::RoutingStrategy::ExpectedTtft;
@@ -74,7 +72,8 @@
 ///
 /// Targets of other domains are considered if no target of the home domain is usable or the expected time there is
 /// long. Only those with a recent load report qualify. If neither the home domain nor such a target is usable, all
-/// targets are considered. \param home This daemon's failure domain.
+/// targets are considered.
+/// \param home This daemon's failure domain.
 [[nodiscard]] Choice chooseAcrossDomains(const RouteRequest &request, const std::vector<targets::TargetView> &targets,
                                          const std::string &home, const std::vector<std::string> &excluded,
                                          const RouteRule &rule, std::uint64_t pick);
--- a/include/spurlug/targets/cooldown.h
+++ b/include/spurlug/targets/cooldown.h
@@ -20,7 +20,8 @@
 {
 public:
     /// \brief Applies a cooldown requested in an answer. Each counts from its own answer, and a shorter one does not
-    /// end an earlier one. \param span Limited to LongestCooldown.
+    /// end an earlier one.
+    /// \param span Limited to LongestCooldown.
     void ask(core::Duration span, core::Time now) noexcept
     {
         m_until = std::max(m_until, now + std::min(span, core::Duration(LongestCooldown)));
--- a/include/spurlug/targets/target_table.h
+++ b/include/spurlug/targets/target_table.h
@@ -36,12 +36,11 @@
     std::string failureDomain;
     LoadReport report; ///< The latest one.
     core::Duration reportAge = absl::InfiniteDuration(); ///< Infinite if there is no report.
-    std::int64_t ownTokens
-        = 0; ///< Prefill tokens sent by this daemon since the report whose requests await their first token.
+    /// Prefill tokens of requests that this daemon sent since the report and that await their first token.
+    std::int64_t ownTokens = 0;
     std::int64_t ownStreams = 0; ///< Requests of this daemon in progress at the target.
     bool ejected = false; ///< Excluded because of failures.
-    core::Duration cooldownLeft
-        = absl::ZeroDuration(); ///< Remaining time in which it accepts no requests from this daemon.
+    core::Duration cooldownLeft = absl::ZeroDuration(); ///< Remaining cooldown that it requested from this daemon.
 };
 
 /// \brief Load report, dispatched requests and failures of each target. Thread-safe.
@@ -59,7 +58,8 @@
     void configure(const config::Configuration &configuration) ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Stores a load report, unless one as new or newer is known. Keeps the previous prefill rate if the report
-    /// has none. \param observedAt When the report was read from the target, by this daemon's clock.
+    /// has none.
+    /// \param observedAt When the report was read from the target, by this daemon's clock.
     void report(std::uint32_t targetHash, const LoadReport &report, core::Time observedAt) ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Records that a request is sent to a target.
--- a/src/control/source_choice.cpp
+++ b/src/control/source_choice.cpp
@@ -15,14 +15,13 @@
 namespace
 {
 
-/// Interval between queries. It adds up to a third of a second to the age of a proof; API keys are accepted for 3.75
-/// s without a newer proof.
+/// Interval between queries. It adds up to a third of a second to the age of a proof; API keys are accepted for
+/// 3.75 s without a newer proof.
 constexpr auto QuestionPause = absl::Milliseconds(300);
-constexpr auto AnswerTimeout
-    = absl::Milliseconds(120); ///< A round trip takes some ms, and a small VM answers within 50 ms.
+constexpr auto AnswerTimeout = absl::Milliseconds(120); ///< A round trip takes some ms; small VMs answer in 50 ms.
 constexpr auto PassedOverFor = absl::Seconds(2);
-/// Data of a source that is older than this is not used. The data of a reader gets as old as two of its long polls of
-/// the directory, 1.2 s.
+/// A source whose data is older than this is skipped. The data of a reader gets as old as two of its long polls of the
+/// directory, 1.2 s.
 constexpr auto OldAfter = absl::Milliseconds(1700);
 /// Minimum age of the other daemons' data at which this daemon reads the directory itself.
 constexpr auto LeastPatience = absl::Milliseconds(2000);
