--- a/src/control/scheduler_client.cpp
+++ b/src/control/scheduler_client.cpp
@@ -45,7 +45,7 @@
 constexpr std::size_t MostUnwanted = 256;
 /// Placement requests that are cancelled after an unwanted grant before the daemon places the caller's request itself.
 constexpr int MostWithdrawn = 3;
-/// Maximum of leaving targets in a report. A release drains a few at a time, and their entries follow within a second.
+/// Maximum of draining targets in a report. A release drains a few at a time, and their entries follow within a second.
 constexpr std::size_t MostLeavingTold = 32;
 constexpr std::size_t MostRatesTold = 32; ///< Maximum of target rates in a placement request or a report: 0.5 KB.
 
