--- a/apps/spurlugctl.cpp
+++ b/apps/spurlugctl.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the operators' tool
+// spurlug: command line tool for operators
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -32,7 +32,7 @@
 constexpr auto PollInterval = absl::Milliseconds(200);
 constexpr int Ok = 200;
 
-/// A command line that cannot be carried out as it stands.
+/// The command line is invalid.
 class UsageError : public core::Error
 {
 public:
@@ -42,7 +42,7 @@
 std::string text(const options::variables_map &given, const std::string &name)
 {
     if (!given.contains(name)) {
-        throw UsageError(core::cat("--", name, " is needed"));
+        throw UsageError(core::cat("--", name, " is required"));
     }
     return given[name].as<std::string>();
 }
@@ -72,7 +72,7 @@
     return document;
 }
 
-/// Prints every fault. Returns whether there was none.
+/// Prints all faults of the document. Returns true if there are none.
 bool check(const nlohmann::json &document, const std::string &path)
 {
     std::vector<core::Fault> faults;
@@ -118,7 +118,8 @@
     return core::ExitOk;
 }
 
-/// Whether a daemon, its live peers and all other failure domains it has heard of have a generation in force.
+/// Whether `generation`, or a later one, is active at a daemon, at its live peers and in all other failure domains that
+/// the daemon knows.
 bool inForceEverywhere(const nlohmann::json &status, std::int64_t generation)
 {
     bool everywhere = status.at("generation") >= generation;
@@ -137,12 +138,12 @@
     const auto timeout = absl::Seconds(given["timeout"].as<int>());
     while (core::now() - started < timeout) {
         if (inForceEverywhere(daemonJson(given, "/status"), generation)) {
-            std::cout << "in force everywhere after " << core::toMs(core::now() - started) << " ms\n";
+            std::cout << "active everywhere after " << core::toMs(core::now() - started) << " ms\n";
             return core::ExitOk;
         }
         absl::SleepFor(PollInterval);
     }
-    std::cerr << "generation " << generation << " is stored, but not in force everywhere yet; see 'status'\n";
+    std::cerr << "generation " << generation << " is stored, but not active everywhere yet; see 'status'\n";
     return core::ExitFailure;
 }
 
@@ -157,7 +158,7 @@
     const auto stored = config::readStoredRoot(api);
     if (given.contains("expect") && given["expect"].as<std::int64_t>() != stored.root.generation) {
         throw core::VersionConflict(
-            core::cat("generation ", stored.root.generation, " by ", stored.root.author, " is in force"));
+            core::cat("generation ", stored.root.generation, " by ", stored.root.author, " is active"));
     }
     constexpr std::size_t ChangeIdBytes = 8;
     const auto generation
@@ -199,7 +200,7 @@
     return core::ExitOk;
 }
 
-/// Calls `read` with each of the files that --logs names; without any, or for "-", with standard input.
+/// Calls `read` with each file given by --logs, or with standard input for "-" and if --logs is missing.
 template<typename Read>
 void eachLog(const options::variables_map &given, Read read)
 {
@@ -222,7 +223,7 @@
 {
     const auto seconds = given["interval"].as<int>();
     if (seconds <= 0) {
-        throw UsageError("--interval is a number of seconds above 0");
+        throw UsageError("--interval must be a number of seconds above 0");
     }
     spurlug::report::LogReport figures{core::Duration(absl::Seconds(seconds))};
     eachLog(given, [&](std::istream &lines) { figures.addAll(lines); });
@@ -282,7 +283,7 @@
     return core::ExitOk;
 }
 
-int newKey(const options::variables_map & /*given*/)
+int newKey(const options::variables_map & /*arguments*/)
 {
     constexpr std::size_t SaltBytes = 6;
     constexpr std::size_t SecretBytes = 24;
@@ -310,18 +311,18 @@
 const std::map<std::string, Command> &commands()
 {
     static const std::map<std::string, Command> all{
-        {"validate", {"FILE: check a configuration and list every fault", validate}},
-        {"apply", {"FILE: put a configuration in force (--platform; --wait with --daemon)", apply}},
-        {"get", {"print the configuration in force (--platform)", get}},
-        {"diff", {"FILE: what applying would change, as a JSON patch (--platform)", diff}},
-        {"report", {"how requests fared, from daemons' logs (--logs, --interval)", report}},
-        {"repeats", {"repeated sends of the fleet against their bound, from all daemons' logs (--logs)", repeats}},
-        {"status", {"a daemon's view of the fleet (--daemon)", status}},
-        {"explain", {"REQUEST-ID: why a request was served the way it was (--daemon, or --logs of several)", explain}},
-        {"watch", {"print decisions as they are made (--daemon)", watch}},
-        {"drain", {"planned stop of a daemon (--daemon)", drain}},
-        {"new-key", {"make an API key and its digest", newKey}},
-        {"hash-key", {"KEY: digest of an API key", hashKey}},
+        {"validate", {"FILE: check a configuration and list all errors", validate}},
+        {"apply", {"FILE: make a configuration active (--platform; --wait with --daemon)", apply}},
+        {"get", {"print the active configuration (--platform)", get}},
+        {"diff", {"FILE: print what apply would change, as a JSON patch (--platform)", diff}},
+        {"report", {"summarise the results of requests from daemons' logs (--logs, --interval)", report}},
+        {"repeats", {"compare the fleet's retries with their limit, from all daemons' logs (--logs)", repeats}},
+        {"status", {"print a daemon's view of the fleet (--daemon)", status}},
+        {"explain", {"REQUEST-ID: print the decision on a request (--daemon, or --logs of several)", explain}},
+        {"watch", {"print decisions as they are recorded (--daemon)", watch}},
+        {"drain", {"start the planned shutdown of a daemon (--daemon)", drain}},
+        {"new-key", {"create an API key and its digest", newKey}},
+        {"hash-key", {"KEY: print the digest of an API key", hashKey}},
     };
     return all;
 }
@@ -341,11 +342,11 @@
     description.add_options()("help,h", "show this text")("version", "show the version")(
         "platform", options::value<std::string>(), "object API, HOST:PORT")("daemon", options::value<std::string>(),
                                                                             "admin address of any daemon, HOST:PORT")(
-        "author", options::value<std::string>()->default_value("operator"),
-        "who makes the change")("expect", options::value<std::int64_t>(), "apply only on top of this generation")(
-        "wait", "wait until the change is in force everywhere")("timeout", options::value<int>()->default_value(30),
-                                                                "seconds that --wait waits")(
-        "logs", options::value<std::vector<std::string>>()->multitoken(), "log files of daemons; - is standard input")(
+        "author", options::value<std::string>()->default_value("operator"), "author recorded with the change")(
+        "expect", options::value<std::int64_t>(), "apply only if this is the current generation")(
+        "wait", "wait until the change is active everywhere")("timeout", options::value<int>()->default_value(30),
+                                                              "seconds that --wait waits")(
+        "logs", options::value<std::vector<std::string>>()->multitoken(), "log files of daemons; - for standard input")(
         "interval", options::value<int>()->default_value(10), "seconds that a line of the report covers");
     options::options_description hidden;
     hidden.add_options()("command", options::value<std::string>())("file", options::value<std::string>());
@@ -365,7 +366,7 @@
     }
     const auto command = commands().find(given["command"].as<std::string>());
     if (command == commands().end()) {
-        throw UsageError(core::cat("there is no command '", given["command"].as<std::string>(), "'"));
+        throw UsageError(core::cat("unknown command '", given["command"].as<std::string>(), "'"));
     }
     return command->second.run(given);
 }
@@ -390,7 +391,7 @@
                   << "; see 'spurlugctl diff', then apply again\n";
         return core::ExitFailure;
     } catch (const core::UnknownResult &error) {
-        std::cerr << "spurlugctl: the change may be in force: " << error.what() << "; see 'spurlugctl get'\n";
+        std::cerr << "spurlugctl: the change may be active: " << error.what() << "; see 'spurlugctl get'\n";
         return core::ExitFailure;
     } catch (const std::exception &error) {
         std::cerr << "spurlugctl: " << error.what() << "\n";
--- a/apps/spurlugd.cpp
+++ b/apps/spurlugd.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the daemon
+// spurlug: command line and startup of the daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -46,7 +46,7 @@
     options::options_description description("spurlugd - serves prompts of very different lengths");
     description.add_options()("help,h", "show this text")("version", "show the version")(
         "settings", options::value<std::string>(), "settings file (JSON)")(
-        "relay", "relay requests between the users' callers and targets; the settings are those of a relaying daemon")(
+        "relay", "run as a relay between callers and targets; the settings must be those of a relay daemon")(
         "check", "check the settings file and exit")("ports-file", options::value<std::string>()->default_value(""),
                                                      "write the bound addresses to this file");
     options::variables_map given;
@@ -61,13 +61,14 @@
             return core::ExitOk;
         }
         if (!given.contains("settings")) {
-            std::cerr << "spurlugd: --settings FILE is needed\n";
+            std::cerr << "spurlugd: --settings FILE is required\n";
             return core::ExitUsage;
         }
         const auto path = given["settings"].as<std::string>();
         if (given.contains("relay")) {
             if (given.contains("check")) {
-                static_cast<void>(settings::loadRelaySettings(path)); // It throws what is wrong.
+                // Throws InvalidDocument if the settings are invalid.
+                static_cast<void>(settings::loadRelaySettings(path));
                 std::cout << "settings are valid\n";
                 return core::ExitOk;
             }
--- a/include/spurlug/daemon/admin_api.h
+++ b/include/spurlug/daemon/admin_api.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what operators and their tools speak to
+// spurlug: HTTP API for operators and their tools
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -20,7 +20,7 @@
 namespace spurlug::daemon
 {
 
-/// \brief What operators' questions act on; outlives the API.
+/// \brief Components that the admin API uses; all must outlive it.
 struct AdminApiParts
 {
     const Identity &identity;
@@ -30,17 +30,17 @@
     explain::DecisionRing &decisions;
     metrics::Metrics &metrics;
     const DecisionFinder &finder;
-    std::function<void()> setGauges; ///< Called before metrics are shown.
-    std::function<void()> startDrain; ///< Begins a planned stop.
+    std::function<void()> setGauges; ///< Updates the gauges before metrics are returned.
+    std::function<void()> startDrain; ///< Starts a planned shutdown.
 };
 
-/// \brief `/healthz`, `/ready`, `/metrics`, `/status`, `/explain/ID`, `/decisions` and `/drain`.
+/// \brief Serves `/healthz`, `/ready`, `/metrics`, `/status`, `/explain/ID`, `/decisions` and `/drain`.
 class AdminApi
 {
 public:
     explicit AdminApi(AdminApiParts parts);
 
-    /// \brief Adds the routes to a server.
+    /// \brief Adds the routes to `server`.
     void configure(httplib::Server &server);
 
 private:
--- a/include/spurlug/daemon/caller_api.h
+++ b/include/spurlug/daemon/caller_api.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what callers speak to
+// spurlug: HTTP API for callers
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -24,7 +24,7 @@
 namespace spurlug::daemon
 {
 
-/// \brief What caller requests act on; outlives the API.
+/// \brief Components that the caller API uses; all must outlive it.
 struct CallerApiParts
 {
     const Identity &identity;
@@ -33,19 +33,20 @@
     limits::OrganisationLimiter &limiter;
     admission::TokenRatios &ratios;
     admission::ByteBudget &bodyMemory;
-    std::int64_t mostBodyBytes; ///< Of one request.
+    std::int64_t mostBodyBytes; ///< Largest body of one request.
     metrics::Metrics &metrics;
-    const std::atomic<bool> &refusing; ///< Set once a planned stop takes no new requests.
-    std::function<claims::ClaimAnswer(const claims::ClaimWish &)> claim; ///< Waits for the commit.
+    const std::atomic<bool> &refusing; ///< Set when a planned shutdown stops accepting new requests.
+    std::function<claims::ClaimAnswer(const claims::ClaimWish &)>
+        claim; ///< Claims an idempotency key or releases a claim; waits for the commit.
 };
 
-/// \brief `/v1/chat/completions`, `/v1/completions`, `/v1/models` and `/services/NAME/...`.
+/// \brief Serves `/v1/chat/completions`, `/v1/completions`, `/v1/models` and `/services/NAME/...`.
 class CallerApi
 {
 public:
     explicit CallerApi(CallerApiParts parts);
 
-    /// \brief Adds the routes to a server.
+    /// \brief Adds the routes to `server`.
     void configure(httplib::Server &server);
 
 private:
--- a/include/spurlug/daemon/completion_writer.h
+++ b/include/spurlug/daemon/completion_writer.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: answers of model engines in the shape callers expect
+// spurlug: converts answers of model engines to the OpenAI format for callers
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -12,27 +12,27 @@
 namespace spurlug::daemon
 {
 
-/// \brief Which of the two completion interfaces a caller uses.
+/// \brief The completion endpoint that a caller uses.
 enum class CompletionKind
 {
     Chat,
     Text,
 };
 
-/// \brief Writes the last events of a stream, and whole answers for callers that do not stream.
+/// \brief Writes the final events of a stream, and full answers for callers that do not stream.
 class CompletionWriter
 {
 public:
     CompletionWriter(CompletionKind kind, std::string requestId, std::string model);
 
-    /// \brief Adds the text of one chunk, for a whole answer.
+    /// \brief Appends the text of one chunk to the full answer.
     void addChunk(std::string_view payload);
 
-    /// \brief The whole answer.
-    /// \param finishPayload The engine's word on usage and finish reason.
+    /// \brief Returns the full answer as JSON.
+    /// \param finishPayload Usage and finish reason as the engine sent them.
     [[nodiscard]] std::string wholeAnswer(std::string_view finishPayload) const;
 
-    /// \brief The events that end a stream.
+    /// \brief Returns the events that end a stream; `includeUsage` adds one with the token usage.
     [[nodiscard]] std::string streamEnd(std::string_view finishPayload, bool includeUsage) const;
 
 private:
@@ -44,7 +44,7 @@
     std::string m_text;
 };
 
-/// \brief Prompt tokens that an engine counted; 0 when it did not say.
+/// \brief Number of prompt tokens that the engine reported; 0 if it reported none.
 [[nodiscard]] std::int64_t promptTokensOf(std::string_view finishPayload);
 
 } // namespace spurlug::daemon
--- a/include/spurlug/daemon/config_follower.h
+++ b/include/spurlug/daemon/config_follower.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: keeps this daemon's configuration the newest that can be reached
+// spurlug: keeps this daemon's configuration up to date
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -19,10 +19,10 @@
 namespace spurlug::daemon
 {
 
-/// \brief Follows the configuration: from the platform where this daemon is a watcher, else from peers.
+/// \brief Updates the configuration: from the platform if this daemon is a watcher, otherwise from peers.
 ///
-/// Two watchers of a failure domain wait on the root object; every other daemon learns of a new generation from
-/// heartbeats and pulls it from the peer that has it. A daemon without any configuration reads the platform itself.
+/// Two watchers in each failure domain wait for changes of the root object. All other daemons learn of a new generation
+/// from heartbeats and fetch it from a peer that has it. A daemon without a configuration reads the platform itself.
 class ConfigFollower
 {
 public:
@@ -52,7 +52,7 @@
     const settings::Timing m_timing;
     bool m_started = false;
     std::int64_t m_rootVersion = 0;
-    config::PartTexts m_partsRead; ///< Of a root that could not be read whole yet.
+    config::PartTexts m_partsRead; ///< Parts read so far of a configuration that could not be read completely yet.
     core::Time m_vmListReadAt = absl::InfinitePast();
     int m_failures = 0;
     std::mt19937_64 m_random;
--- a/include/spurlug/daemon/daemon.h
+++ b/include/spurlug/daemon/daemon.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the whole daemon
+// spurlug: starts, connects and stops all components of the daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -12,11 +12,11 @@
 namespace spurlug::daemon
 {
 
-/// \brief Starts everything that `spurlugd` runs, and stops it without cutting a request off.
+/// \brief Owns all components of `spurlugd`; starts them, and stops them without interrupting requests.
 class Daemon
 {
 public:
-    /// \throws NetworkError when an address cannot be bound.
+    /// \throws NetworkError if an address cannot be bound.
     explicit Daemon(const settings::DaemonSettings &settings);
     ~Daemon();
     Daemon(const Daemon &) = delete;
@@ -25,7 +25,7 @@
     /// \brief Name and bound addresses.
     [[nodiscard]] const Identity &identity() const noexcept;
 
-    /// \brief Planned stop: fails the ready check, then takes no new requests, then waits for those in progress.
+    /// \brief Planned shutdown: fails the readiness check, then refuses new requests, then waits for those in progress.
     void drain();
 
 private:
--- a/include/spurlug/daemon/decision_finder.h
+++ b/include/spurlug/daemon/decision_finder.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: finds a recorded decision at whichever daemon has it
+// spurlug: finds a recorded decision at the daemon that has it
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,21 +14,22 @@
 namespace spurlug::daemon
 {
 
-/// \brief How far a question may travel.
+/// \brief Which daemons a search may query.
 enum class SearchScope
 {
     Fleet, ///< This daemon, its peers, and one daemon of each other failure domain.
-    OwnDomain, ///< This daemon and its peers: the question came from another failure domain.
-    Here, ///< This daemon only: the question came from a peer.
+    OwnDomain, ///< This daemon and its peers; for queries from another failure domain.
+    Here, ///< This daemon only; for queries from a peer.
 };
 
-/// \brief Looks for a decision; a request's id names the VM that took the request.
+/// \brief Finds the decision on a request; the request's id names the VM that received it.
 class DecisionFinder
 {
 public:
     DecisionFinder(const explain::DecisionRing &decisions, const membership::Fleet &fleet, PeerCalls &peers);
 
-    /// \returns The decision as JSON, or nothing when no daemon that answers has it.
+    /// \brief Searches the daemons that `scope` allows.
+    /// \returns The decision as JSON; nullopt if no daemon that answers has it.
     [[nodiscard]] std::optional<std::string> find(const std::string &requestId, SearchScope scope,
                                                   core::Time now) const;
 
--- a/include/spurlug/daemon/error_body.h
+++ b/include/spurlug/daemon/error_body.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what callers are told when a request is refused or fails
+// spurlug: error responses for callers whose request is refused or fails
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -15,26 +15,26 @@
 namespace spurlug::daemon
 {
 
-/// \brief A refusal or failure as callers see it.
+/// \brief Contents of an error response to a caller.
 struct ErrorReply
 {
     core::Reason reason = core::Reason::None;
     core::Outcome outcome = core::Outcome::NotRun;
     std::string message;
     std::string requestId;
-    int retryAfterSeconds = 0; ///< 0: not told.
+    int retryAfterSeconds = 0; ///< Value of `Retry-After`; 0 omits it.
 };
 
-/// \brief A refusal, as its caller sees it.
+/// \brief Returns the error response for a refused request.
 [[nodiscard]] ErrorReply toReply(const core::Refused &refusal, const std::string &requestId);
 
-/// \brief A request that failed for good, as its caller sees it.
+/// \brief Returns the error response for a request that failed and will not be retried.
 [[nodiscard]] ErrorReply toReply(const dispatch::AttemptEnd &end, const std::string &requestId);
 
-/// \brief The error in the shape that OpenAI clients read.
+/// \brief Returns the error as JSON in the format of the OpenAI API.
 [[nodiscard]] nlohmann::ordered_json errorBody(const ErrorReply &reply);
 
-/// \brief Makes a response of it.
+/// \brief Sets status, headers and body of `response` from `reply`.
 void writeError(httplib::Response &response, const ErrorReply &reply);
 
 } // namespace spurlug::daemon
--- a/include/spurlug/daemon/home_domain.h
+++ b/include/spurlug/daemon/home_domain.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what this daemon knows of its own failure domain
+// spurlug: queries on this daemon's own failure domain
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,23 +16,24 @@
 namespace spurlug::daemon
 {
 
-/// \brief Answers questions about the daemon's own failure domain; changes nothing.
+/// \brief Read-only queries on the daemon's own failure domain.
 class HomeDomain
 {
 public:
     HomeDomain(const Identity &identity, const config::Store &store, const membership::Fleet &fleet,
                const targets::TargetTable &targets);
 
-    /// \brief Targets of a pool here that can take work, the least loaded first.
+    /// \brief Targets of a pool in this failure domain that accept requests, ordered by queued tokens, lowest first.
     [[nodiscard]] std::vector<targets::TargetView> serving(const std::string &pool, core::Time now) const;
 
-    /// \brief RPC address of the broker to ask for engines of a pool.
+    /// \brief RPC address of the broker that grants engines of a pool.
     ///
-    /// That of another failure domain when fewer than `engines` targets serve here and it has enough.
-    /// \returns Port 0 when no broker is known.
+    /// The broker of another failure domain is returned if fewer than `engines` targets accept requests in this one and
+    /// enough do there.
+    /// \returns An address with port 0 if no broker is known.
     [[nodiscard]] core::Address brokerFor(const std::string &pool, int engines, core::Time now) const;
 
-    /// \brief What other failure domains are told.
+    /// \brief Summary of this failure domain that is sent to the other failure domains.
     [[nodiscard]] membership::DomainSummary summary(core::Time now) const;
 
 private:
--- a/include/spurlug/daemon/http_listener.h
+++ b/include/spurlug/daemon/http_listener.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: an HTTP listener with a bounded pool of its own
+// spurlug: HTTP listener with its own bounded thread pool
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,33 +14,34 @@
 namespace spurlug::daemon
 {
 
-/// \brief Bounds of a listener.
+/// \brief Limits of a listener.
 struct ListenerLimits
 {
-    std::size_t connections = 64; ///< Threads, one a connection.
-    std::size_t bodyBytes = 1U << 20; ///< Largest request body.
+    std::size_t connections = 64; ///< Maximum number of connections; each uses one thread.
+    std::size_t bodyBytes = 1U << 20; ///< Maximum size of a request body.
 };
 
-/// \brief Runs an httplib server on a thread of its own.
+/// \brief Runs an httplib server on its own thread.
 ///
-/// Connections beyond the bound are answered by one spare thread, which tells `overloaded` to handlers on it, so that
-/// callers get a typed refusal instead of silence.
+/// Connections above the limit are served by one overflow thread. Handlers on that thread can detect this, so that
+/// callers get a refusal with a reason instead of no answer.
 class HttpListener
 {
 public:
-    /// \param address Port 0 lets the kernel choose.
+    /// \param address Port 0 lets the kernel choose a free port.
     /// \param configure Adds routes; called once, before the listener starts.
-    /// \throws NetworkError
+    /// \throws NetworkError if the address cannot be bound.
     HttpListener(const core::Address &address, ListenerLimits limits,
                  const std::function<void(httplib::Server &)> &configure);
-    /// \brief Stops accepting, waits for the handlers in progress.
+    /// \brief Stops accepting connections and waits for the handlers in progress.
     ~HttpListener();
     HttpListener(const HttpListener &) = delete;
     HttpListener &operator=(const HttpListener &) = delete;
 
+    /// \brief The bound address.
     [[nodiscard]] const core::Address &address() const noexcept;
 
-    /// \brief Whether the calling handler runs on the spare thread.
+    /// \brief Whether the calling handler runs on the overflow thread.
     [[nodiscard]] static bool overloaded() noexcept;
 
 private:
--- a/include/spurlug/daemon/identity.h
+++ b/include/spurlug/daemon/identity.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: who this daemon is
+// spurlug: name, location and addresses of this daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -12,13 +12,13 @@
 namespace spurlug::daemon
 {
 
-/// \brief Name, start and bound addresses of a running daemon.
+/// \brief Name, location, start time and bound addresses of a running daemon.
 struct Identity
 {
     std::string vm;
     std::string failureDomain;
     std::string region;
-    std::uint64_t incarnation = 0; ///< Microseconds of wall-clock time at the start.
+    std::uint64_t incarnation = 0; ///< Wall-clock time of the start, in microseconds since the Unix epoch.
     core::Address callerAddress;
     core::Address adminAddress;
     core::Address peerAddress;
--- a/include/spurlug/daemon/incoming_body.h
+++ b/include/spurlug/daemon/incoming_body.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a request's body on its way in
+// spurlug: reads the body of an incoming request
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,10 +13,9 @@
 namespace spurlug::daemon
 {
 
-/// \brief A request's body, still on its way.
+/// \brief The body of a request that is being received.
 ///
-/// What is left unread at the end of its life is read and thrown away, so that the connection can carry another
-/// request.
+/// The destructor reads and discards a body that was not read, so that the connection can be used for another request.
 class IncomingBody
 {
 public:
@@ -25,8 +24,8 @@
     IncomingBody(const IncomingBody &) = delete;
     IncomingBody &operator=(const IncomingBody &) = delete;
 
-    /// \brief Reads the body; its bytes are held against the budget.
-    /// \param mostBytes Largest body that is taken.
+    /// \brief Reads the body, and reserves its bytes in `budget`; the last argument receives the reservation.
+    /// \param mostBytes Maximum size of the body.
     /// \throws Refused with BodyTooLarge, BodyMemoryFull or MalformedBody.
     [[nodiscard]] std::string read(std::int64_t mostBytes, admission::ByteBudget &budget,
                                    admission::ByteBudget::Hold &hold);
--- a/include/spurlug/daemon/peer_calls.h
+++ b/include/spurlug/daemon/peer_calls.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: calls to other daemons
+// spurlug: gRPC client for calls to other daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -22,15 +22,15 @@
 namespace spurlug::daemon
 {
 
-/// \brief A broker's answer to an ask.
+/// \brief A broker's answer to a request for engines.
 struct GrantAnswer
 {
     std::optional<grants::Grant> grant;
-    std::uint32_t place = 0; ///< Asks ahead.
-    bool notBroker = false; ///< The daemon that was asked holds no such role.
+    std::uint32_t place = 0; ///< Number of requests ahead in the queue.
+    bool notBroker = false; ///< The called daemon is not the broker of the pool.
 };
 
-/// \brief Makes calls over gRPC; one connection a peer. Safe to use from several threads.
+/// \brief gRPC client with one connection per peer. Thread-safe.
 class PeerCalls
 {
 public:
@@ -39,28 +39,29 @@
     PeerCalls(const PeerCalls &) = delete;
     PeerCalls &operator=(const PeerCalls &) = delete;
 
-    /// \brief Asks a broker for engines; waits at most `wait`.
-    /// \throws NetworkError when the peer does not answer.
+    /// \brief Requests engines of a pool from a broker, which may queue the request for at most `wait`.
+    /// \param waited Time for which the request has already waited.
+    /// \throws NetworkError if the call fails.
     [[nodiscard]] GrantAnswer acquire(const core::Address &peer, const std::string &pool, const grants::Ask &ask,
                                       core::Duration waited, core::Duration wait);
 
-    /// \brief Keeps a grant alive. \returns False when the broker does not know it or does not answer.
+    /// \brief Renews a grant. \returns False if the broker does not know the grant or the call fails.
     bool renew(const core::Address &peer, std::uint64_t grant);
 
-    /// \brief Gives a grant back; it lapses by itself when the broker does not answer.
+    /// \brief Releases a grant; if the call fails, the grant expires on its own.
     void release(const core::Address &peer, std::uint64_t grant);
 
-    /// \brief Has a peer carry out a wish to claim. \throws NetworkError
+    /// \brief Has a peer carry out a claim or its release. \throws NetworkError if the call fails.
     [[nodiscard]] claims::ClaimAnswer claim(const core::Address &peer, const claims::ClaimWish &wish);
 
-    /// \brief Root in force at a peer. \throws NetworkError
+    /// \brief Fetches the active root of the configuration from a peer. \throws NetworkError if the call fails.
     [[nodiscard]] std::string fetchRoot(const core::Address &peer);
 
-    /// \brief Parts in force at a peer. \throws NetworkError
+    /// \brief Fetches parts of the active configuration from a peer. \throws NetworkError if the call fails.
     [[nodiscard]] config::PartTexts fetchParts(const core::Address &peer, const std::vector<std::string> &hashes);
 
-    /// \brief A decision recorded at a peer, as JSON. \throws NetworkError
-    /// \param forwarded Whether the peer must not ask others in turn.
+    /// \brief Fetches a decision as JSON; nullopt if it was not found. \throws NetworkError if the call fails.
+    /// \param forwarded True if the peer must not query other daemons.
     [[nodiscard]] std::optional<std::string> explain(const core::Address &peer, const std::string &requestId,
                                                      bool forwarded);
 
--- a/include/spurlug/daemon/peer_server.h
+++ b/include/spurlug/daemon/peer_server.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: answers calls from other daemons
+// spurlug: gRPC server for calls from other daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -17,7 +17,7 @@
 namespace spurlug::daemon
 {
 
-/// \brief What calls from peers act on; outlives the server.
+/// \brief Components that calls from peers use; all must outlive the server.
 struct PeerServerParts
 {
     grants::BrokerHost &brokers;
@@ -28,17 +28,18 @@
     metrics::Metrics &metrics;
 };
 
-/// \brief The gRPC server of one daemon.
+/// \brief The gRPC server of a daemon.
 class PeerServer
 {
 public:
-    /// \param address Port 0 lets the kernel choose.
-    /// \throws NetworkError
+    /// \param address Port 0 lets the kernel choose a free port.
+    /// \throws NetworkError if the address cannot be bound.
     PeerServer(const core::Address &address, PeerServerParts parts);
     ~PeerServer();
     PeerServer(const PeerServer &) = delete;
     PeerServer &operator=(const PeerServer &) = delete;
 
+    /// \brief The bound address.
     [[nodiscard]] const core::Address &address() const noexcept;
 
 private:
--- a/include/spurlug/daemon/roles.h
+++ b/include/spurlug/daemon/roles.h
@@ -10,16 +10,16 @@
 namespace spurlug::daemon
 {
 
-/// \brief Role of the two daemons of a failure domain that wait on the platform for a new configuration.
+/// \brief Role of the two daemons of a failure domain that watch the platform for a new configuration.
 inline constexpr std::string_view WatcherRole = "configuration-watcher";
 
-/// \brief Daemons that hold the watcher's role at once.
+/// \brief Number of daemons of a failure domain that hold the watcher role at the same time.
 inline constexpr std::size_t Watchers = 2;
 
 /// \brief Role of the daemon that commits the claims of a failure domain.
 inline constexpr std::string_view ClaimOwnerRole = "claim-owner";
 
-/// \brief Role of the daemon that grants the engines of a pool.
+/// \brief Role of the daemon of a failure domain that grants the engines of a pool.
 [[nodiscard]] inline std::string brokerRole(std::string_view pool)
 {
     return std::string("broker:").append(pool);
--- a/include/spurlug/daemon/run_guard.h
+++ b/include/spurlug/daemon/run_guard.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a request whose caller is being answered
+// spurlug: ties a request to the response to its caller
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,17 +14,18 @@
 namespace spurlug::daemon
 {
 
-/// \brief Time between looks at whether the caller is still there.
+/// \brief Interval between checks whether the caller is still connected.
 inline constexpr auto CallerLookInterval = absl::Milliseconds(250);
 
-/// \brief Abandons its run when the caller's side ends, in whatever way, and gives a claimed key back if nothing ran.
+/// \brief Abandons its request when the response to the caller ends for any reason, and releases a claimed idempotency
+/// key if no target can have run the request.
 struct RunGuard
 {
     using GiveBack = std::function<void()>;
 
     core::Ref<dispatch::RequestRun> run;
     limits::OrganisationLimiter::LongPlace longPlace;
-    GiveBack giveBack; ///< Null when no key was claimed.
+    GiveBack giveBack; ///< Releases the claim; null if no key was claimed.
 
     RunGuard(core::Ref<dispatch::RequestRun> theRun, limits::OrganisationLimiter::LongPlace place, GiveBack theGiveBack)
         : run(std::move(theRun))
--- a/include/spurlug/dispatch/attempt.h
+++ b/include/spurlug/dispatch/attempt.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one attempt to serve a request, and how it ended
+// spurlug: request and result of one attempt to serve a caller's request
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,28 +16,28 @@
 namespace spurlug::dispatch
 {
 
-/// \brief What one attempt sends to a target.
+/// \brief The request that one attempt sends to a target.
 struct AttemptRequest
 {
     std::string requestId;
-    int attempt = 0; ///< Counted from 1 within a request.
+    int attempt = 0; ///< Number of the attempt within its request; counts from 1 upwards.
     core::Address target;
     std::string path;
     std::string method = "POST";
-    const std::string *body = nullptr; ///< Held by the request; outlives the attempt.
+    const std::string *body = nullptr; ///< Owned by the request and valid until the attempt ends.
     std::vector<std::pair<std::string, std::string>> headers;
-    core::Duration timeout; ///< Longest silence of the target.
+    core::Duration timeout; ///< Read and write timeout: maximum time without progress on the connection.
 };
 
-/// \brief How an attempt ended.
+/// \brief The result of an attempt.
 struct AttemptEnd
 {
     core::Outcome outcome = core::Outcome::MayHaveRun;
     core::Reason reason = core::Reason::None;
-    int status = 0; ///< HTTP status of the target; 0: none was received.
-    std::string detail = ""; ///< One sentence for logs and callers.
-    bool targetFailed = false; ///< Whether the target was at fault.
-    int retryAfterSeconds = 0; ///< Time in which the target wants nothing from this daemon; 0: not told.
+    int status = 0; ///< HTTP status that the target sent; 0 if none was received.
+    std::string detail = ""; ///< Description of a failure for logs and callers.
+    bool targetFailed = false; ///< Whether the attempt counts as a failure of the target.
+    int retryAfterSeconds = 0; ///< Cooldown that the target requested; 0 if it requested none.
 };
 
 } // namespace spurlug::dispatch
--- a/include/spurlug/dispatch/event_channel.h
+++ b/include/spurlug/dispatch/event_channel.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: events of one attempt, on their way from the target's thread to the caller's
+// spurlug: bounded queue that passes the events of one attempt between threads
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -19,53 +19,53 @@
 namespace spurlug::dispatch
 {
 
-/// \brief A token of the answer.
+/// \brief A token of the answer and its offset, counted in tokens.
 struct TokenEvent
 {
     std::int64_t offset = 0;
     std::string payload;
 };
 
-/// \brief The target's word that its answer is whole.
+/// \brief The target's message that its answer is complete, with the number of tokens in it.
 struct FinishEvent
 {
     std::int64_t total = 0;
-    std::string payload; ///< Usage and finish reason, as the target wrote them.
+    std::string payload; ///< Usage and finish reason as the target sent them.
 };
 
-/// \brief The head of a plain response.
+/// \brief Status and headers of a plain service's response.
 struct HeadEvent
 {
     int status = 0;
     std::vector<std::pair<std::string, std::string>> headers;
 };
 
-/// \brief Bytes of a plain response's body.
+/// \brief Part of the body of a plain service's response.
 struct BytesEvent
 {
     std::string bytes;
 };
 
-/// \brief What an attempt hands to its request.
+/// \brief An event that an attempt passes to its request.
 using AttemptEvent = std::variant<TokenEvent, FinishEvent, HeadEvent, BytesEvent, AttemptEnd>;
 
-/// \brief A bounded queue between the thread that reads a target and the thread that writes to the caller.
+/// \brief A bounded queue between the thread that reads from a target and the thread that writes to the caller.
 class EventChannel : public core::Counted<EventChannel>
 {
 public:
     explicit EventChannel(std::size_t capacity = 256);
 
     /// \brief Adds an event; waits while the queue is full.
-    /// \returns False once the channel was cancelled.
+    /// \returns False if the channel is cancelled.
     bool push(AttemptEvent event) ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Takes the next event, waiting at most `wait`.
+    /// \brief Removes and returns the next event; waits at most `wait` for it.
     [[nodiscard]] std::optional<AttemptEvent> pop(core::Duration wait) ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Gives the attempt up: the target's thread is told through `onCancel`.
+    /// \brief Cancels the attempt: calls `onCancel` and makes `push` fail.
     void cancel() ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Sets what `cancel` calls; called at once when the channel was cancelled before. Null clears it.
+    /// \brief Sets the callback for `cancel`; it is called at once if the channel is already cancelled. Null clears it.
     void setOnCancel(std::function<void()> onCancel) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
--- a/include/spurlug/dispatch/reassembly.h
+++ b/include/spurlug/dispatch/reassembly.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the whole answer, in order, from events that come late, twice or disordered
+// spurlug: reassembles an answer from token events that are late, repeated or out of order
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,37 +13,37 @@
 namespace spurlug::dispatch
 {
 
-/// \brief Puts a request's tokens in order across attempts and hands out each once.
+/// \brief Puts the tokens of a request in order across its attempts and returns each token once.
 ///
-/// Events carry the attempt they belong to and the offset of their token. Events of an attempt that was given up, and
-/// offsets that were handed out before, are dropped; gaps are waited for.
+/// Each event carries the number of its attempt and the offset of its token. Events of earlier attempts and repeated
+/// offsets are dropped. Tokens after a gap are held back until the gap is filled.
 class Reassembly
 {
 public:
     /// \name Commands
     /// @{
 
-    /// \brief Makes `attempt` the one whose events count; what earlier ones left waiting is dropped.
+    /// \brief Makes `attempt` the current attempt; discards the held-back tokens and the total of the one before.
     void begin(int attempt);
 
-    /// \brief Takes one event.
-    /// \returns The payloads that can be handed out now, in order.
+    /// \brief Adds the token of one event.
+    /// \returns The payloads that are ready, in order; empty if the event was dropped or a gap precedes it.
     std::vector<std::string> accept(int attempt, std::int64_t offset, std::string payload);
 
-    /// \brief Notes that an attempt said the answer has `total` tokens.
+    /// \brief Records that the whole answer has `total` tokens; ignored unless `attempt` is the current one.
     void finish(int attempt, std::int64_t total);
 
     /// @}
     /// \name Queries
     /// @{
 
-    /// \brief Offset of the next token to hand out: a new attempt resumes there.
+    /// \brief Offset of the next token to return, at which a new attempt resumes.
     [[nodiscard]] std::int64_t next() const noexcept;
 
-    /// \brief Whether the whole answer was handed out.
+    /// \brief Whether all tokens of the answer were returned.
     [[nodiscard]] bool complete() const noexcept;
 
-    /// \brief Events dropped because they were repeated, stale or out of range.
+    /// \brief Number of events dropped because their offset was repeated or their attempt was not the current one.
     [[nodiscard]] std::int64_t dropped() const noexcept;
 
     /// @}
--- a/include/spurlug/dispatch/request_run.h
+++ b/include/spurlug/dispatch/request_run.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the life of one admitted request
+// spurlug: relays one admitted request to its targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -26,21 +26,21 @@
 namespace spurlug::dispatch
 {
 
-/// \brief What requests share; outlives every request.
+/// \brief Objects and settings that all requests share; outlives every request.
 struct RunContext
 {
     targets::TargetTable &targets;
     metrics::Metrics &metrics;
     explain::DecisionRing &decisions;
-    core::WorkerPool &attempts; ///< Threads that read targets.
+    core::WorkerPool &attempts; ///< Threads that send attempts and read the answers.
     grants::GroupKeeper &groups;
     grants::AcquireGrant acquireGrant;
     RetryBudget &retryBudget;
     RetryRule retryRule;
     routing::RouteRule routeRule;
-    std::string failureDomain; ///< Targets here are taken first.
+    std::string failureDomain; ///< Targets in this failure domain are preferred.
     std::atomic<std::int64_t> inProgress{0};
-    std::atomic<std::uint64_t> turn{0}; ///< Of round robin.
+    std::atomic<std::uint64_t> turn{0}; ///< Counter for round-robin routing.
 };
 
 /// \brief Protocol of the targets that a request goes to.
@@ -55,74 +55,76 @@
 {
     std::string id;
     TargetKind kind = TargetKind::Engine;
-    config::ConfigurationRef configuration; ///< Keeps `targets` alive.
+    config::ConfigurationRef configuration; ///< Owns the list that `targets` points to.
     const std::vector<config::TargetSpec> *targets = nullptr;
-    std::string route; ///< Pool or service.
+    std::string route; ///< Name of the pool or service.
     std::string organisation;
-    double weight = 1.0;
+    double weight = 1.0; ///< Weight of the organisation when targets are contended.
     std::string requestClass;
     std::int64_t priority = 0;
-    std::int64_t tokens = 0; ///< Prompt.
-    std::int64_t kvTokens = 0; ///< KV memory the whole request needs.
-    int engines = 1;
+    std::int64_t tokens = 0; ///< Estimated prompt tokens; 1 for a service call.
+    std::int64_t kvTokens = 0; ///< KV memory that the whole request needs, in tokens.
+    int engines = 1; ///< Number of engines that serve the request together.
     config::RoutingStrategy routing = config::RoutingStrategy::ExpectedTtft;
-    bool isLong = false; ///< Needs a grant.
-    std::uint64_t prefix = 0;
-    bool repeatable = true;
+    bool isLong = false; ///< A long request needs a grant from a broker.
+    std::uint64_t prefix = 0; ///< Hash of the beginning of the prompt; 0 if there is none to share.
+    bool repeatable = true; ///< Whether the request may be executed more than once.
     std::string method;
     std::string path;
-    std::vector<std::pair<std::string, std::string>> headers; ///< Passed on to the target.
+    std::vector<std::pair<std::string, std::string>> headers; ///< Headers forwarded to the target.
     std::string body;
     admission::ByteBudget::Hold bodyHold;
     core::Time arrivedAt;
     core::Time deadline;
 };
 
-/// \brief Nothing happened while waiting.
+/// \brief No output became available while `next` waited.
 struct Quiet
 { };
 
-/// \brief Tokens to hand to the caller, in order, each once.
+/// \brief Tokens for the caller, in order, each returned once.
 struct Tokens
 {
     std::vector<std::string> payloads;
 };
 
-/// \brief The whole answer was handed out.
+/// \brief The request is complete; all its output was returned.
 struct Finished
 {
     std::string payload; ///< Usage and finish reason; empty for plain services.
 };
 
-/// \brief The request failed for good.
+/// \brief The request failed and will not be retried.
 struct Failed
 {
     AttemptEnd end;
 };
 
-/// \brief What a request hands to its caller.
+/// \brief Output of a request for its caller.
 using Output = std::variant<Quiet, Tokens, HeadEvent, BytesEvent, Finished, Failed>;
 
-/// \brief Drives one request through its attempts until it is finished, fails or passes its deadline.
+/// \brief Relays one request, with retries, until it is complete, fails or reaches its deadline.
 ///
-/// Used by one thread at a time. The end of its life cancels what is in progress and records the decision.
+/// Used by one thread at a time. The destructor cancels an attempt in progress and records the decision.
 class RequestRun : public core::Counted<RequestRun>
 {
 public:
+    /// \brief Counts the request as admitted. The first attempt starts when `next` is called.
     RequestRun(RunContext &context, AdmittedRequest request);
     ~RequestRun();
     RequestRun(const RequestRun &) = delete;
     RequestRun &operator=(const RequestRun &) = delete;
 
-    /// \brief Waits for the next output, at most `wait`. After Finished or Failed it returns the same again.
+    /// \brief Waits at most `wait` for the next output. Once it has returned Finished or Failed, it returns that again.
     [[nodiscard]] Output next(core::Duration wait);
 
-    /// \brief Gives the request up because its caller is gone.
+    /// \brief Cancels the request because its caller has disconnected; does nothing if the request has ended.
     void abandon();
 
+    /// \brief The request that is relayed.
     [[nodiscard]] const AdmittedRequest &request() const noexcept;
 
-    /// \brief How the request ended; nothing while it goes on.
+    /// \brief Outcome of the request; nullopt while it is in progress.
     [[nodiscard]] std::optional<core::Outcome> outcome() const noexcept;
 
 private:
@@ -147,15 +149,15 @@
     RunContext &m_context;
     const AdmittedRequest m_request;
     Reassembly m_reassembly;
-    core::Ref<EventChannel> m_channel; ///< Of the attempt in progress; null between attempts.
+    core::Ref<EventChannel> m_channel; ///< Channel of the attempt in progress; null between attempts.
     core::Ref<grants::Group> m_group;
     std::vector<std::string> m_current; ///< Targets of the attempt in progress.
     std::vector<std::string> m_tried;
-    core::Time m_notBefore = absl::InfinitePast(); ///< A retry waits until then.
+    core::Time m_notBefore = absl::InfinitePast(); ///< The next attempt starts no earlier.
     core::Time m_lastToken = absl::InfinitePast();
     int m_attempts = 0;
-    bool m_headSent = false; ///< Part of a plain response was handed out: no retry any more.
-    bool m_mayHaveRun = false; ///< Some attempt may have run.
+    bool m_headSent = false; ///< Set once the head of a plain response was received; no retry is possible from then on.
+    bool m_mayHaveRun = false; ///< Whether a target may have run an earlier attempt.
     std::optional<FinishEvent> m_finish;
     std::optional<Output> m_end;
     explain::Decision m_decision;
--- a/include/spurlug/dispatch/retry.h
+++ b/include/spurlug/dispatch/retry.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whether, when and why a request is sent again
+// spurlug: decides whether and when a failed request is retried
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -15,50 +15,50 @@
 namespace spurlug::dispatch
 {
 
-/// \brief Bounds on retries.
+/// \brief Maximum number of attempts, and the exponential backoff between them.
 struct RetryRule
 {
     int mostAttempts = 4;
-    core::Duration firstDelay = core::fromMs(10); ///< Doubles with each attempt; half of it is jitter.
+    core::Duration firstDelay = core::fromMs(10); ///< Doubles with each attempt; half of each delay is random jitter.
     core::Duration longestDelay = core::fromMs(500);
 };
 
-/// \brief What is known of a request when an attempt has failed.
+/// \brief State of a request after a failed attempt.
 struct RetryState
 {
-    bool repeatable = true; ///< Whether the work may be done twice.
+    bool repeatable = true; ///< Whether the request may be executed more than once.
     int attempts = 0; ///< Attempts made so far.
     core::Time deadline;
 };
 
-/// \brief What to do after a failed attempt.
+/// \brief Whether to retry after a failed attempt, and when.
 struct RetryDecision
 {
     bool retry = false;
     core::Duration delay; ///< Wait before the next attempt.
-    core::Reason refusedBecause = core::Reason::None; ///< Why not, when the attempt itself would allow it.
+    core::Reason refusedBecause
+        = core::Reason::None; ///< Why a retry was refused; None if the attempt was complete or its caller is gone.
 };
 
-/// \brief Decides on a retry, the retry budget not counted.
+/// \brief Decides whether to retry, without regard to the retry budget.
 ///
-/// A request that may have run is sent again only when it may be repeated.
-/// \param jitter A random number from 0 to 1.
+/// A request that may have run is retried only if it is repeatable.
+/// \param jitter Random number from 0 to 1.
 [[nodiscard]] RetryDecision decideRetry(const RetryState &state, const AttemptEnd &end, const RetryRule &rule,
                                         double jitter, core::Time now);
 
-/// \brief Keeps retries to a share of recent requests, so that a failing pool is not drowned by them.
+/// \brief Limits retries to a share of recent requests, so that retries do not overload a failing pool.
 class RetryBudget
 {
 public:
-    /// \param share Retries allowed per request.
-    /// \param most Most retries saved up.
+    /// \brief Creates a full budget from the retries that each request adds and the maximum number of retries in it.
     explicit RetryBudget(double share = 0.2, double most = 50);
 
-    /// \brief Notes a first attempt.
+    /// \brief Adds the share of one new request to the budget.
     void deposit() ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Takes one retry.
-    /// \returns False when the budget is spent.
+    /// \brief Takes one retry from the budget.
+    /// \returns False if less than one retry is left.
     [[nodiscard]] bool withdraw() ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
--- a/include/spurlug/dispatch/sse.h
+++ b/include/spurlug/dispatch/sse.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: server-sent events
+// spurlug: parses and writes server-sent events
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,19 +14,19 @@
 /// \brief One server-sent event.
 struct SseEvent
 {
-    std::string name; ///< Of the `event:` field; empty for a plain message.
+    std::string name; ///< Value of the `event:` field; empty for a plain message.
     std::string id;
     std::string data;
 };
 
-/// \brief Cuts a stream of bytes into server-sent events.
+/// \brief Incremental parser that splits a byte stream into server-sent events.
 class SseParser
 {
 public:
-    /// \brief Adds bytes as they arrive.
+    /// \brief Appends received bytes, which may end within an event.
     void feed(std::string_view bytes);
 
-    /// \brief Takes the next whole event; comments are passed over.
+    /// \brief Returns the next complete event, or nullopt if there is none yet; comments are skipped.
     [[nodiscard]] std::optional<SseEvent> next();
 
 private:
@@ -34,7 +34,7 @@
     std::size_t m_start = 0;
 };
 
-/// \brief Writes a plain message with `data`.
+/// \brief Returns an event that has only a `data:` field; `data` is a single line.
 [[nodiscard]] std::string writeSse(std::string_view data);
 
 } // namespace spurlug::dispatch
--- a/include/spurlug/dispatch/target_client.h
+++ b/include/spurlug/dispatch/target_client.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: sends an attempt to a target over HTTP
+// spurlug: sends attempts to targets over HTTP
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,7 +14,7 @@
 namespace spurlug::dispatch
 {
 
-/// \brief A wire protocol towards targets: runs one attempt and pushes its events, an AttemptEnd last.
+/// \brief A protocol client for targets: runs one attempt and pushes its events, with an AttemptEnd as the last one.
 template<typename Client>
 concept TargetClient = requires(const Client client, const AttemptRequest &request, EventChannel &events)
 {
@@ -23,17 +23,17 @@
         } -> std::same_as<void>;
 };
 
-/// \brief Model engines: server-sent events with a token offset each.
+/// \brief Client for model engines, which answer with server-sent events that carry token offsets.
 struct EngineClient
 {
-    /// \brief Sends the request on a fresh connection and reads the answer to its end.
+    /// \brief Sends the request on a new connection and reads the answer until it ends.
     void run(const AttemptRequest &request, EventChannel &events) const;
 };
 
-/// \brief Plain services: the response passes through as it is.
+/// \brief Client for plain services, whose responses are passed through without connection headers.
 struct ServiceClient
 {
-    /// \brief Sends the request on a fresh connection and reads the answer to its end.
+    /// \brief Sends the request on a new connection and reads the answer until it ends.
     void run(const AttemptRequest &request, EventChannel &events) const;
 };
 
--- a/src/daemon/caller_api.cpp
+++ b/src/daemon/caller_api.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what callers speak to
+// spurlug: HTTP API for callers
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -34,11 +34,12 @@
 using core::Reason;
 using core::Refused;
 
-constexpr std::int64_t DefaultAnswerTokens = 1024; // Room for an answer whose length is not given.
+constexpr std::int64_t DefaultAnswerTokens = 1024; // KV memory planned for an answer without a token limit.
 constexpr std::int64_t ServiceTokens = 1;
-constexpr std::int64_t LongPriority = 100; // Added for long prompts, so that engines let short ones pass.
+// Added to the priority value of long prompts, so that engines serve short ones first.
+constexpr std::int64_t LongPriority = 100;
 
-/// What every admitted request takes from its caller.
+/// Creates a request with the fields that are the same for completions and service calls.
 dispatch::AdmittedRequest admittedFor(const admission::Caller &caller, const std::string &id, core::Time now)
 {
     dispatch::AdmittedRequest admitted;
@@ -98,7 +99,7 @@
     server.Delete(ServicePattern, withBody);
 }
 
-/// Faults that the HTTP library finds by itself, such as a malformed request line, get a typed body too.
+/// Adds an error body to errors that the HTTP library itself detects, such as a malformed request line.
 void CallerApi::typeHttpError(httplib::Response &response)
 {
     if (!response.body.empty()) {
@@ -143,7 +144,7 @@
     writeError(response, toReply(refusal, id));
 }
 
-/// Refuses a short prompt whose first token cannot come before its deadline at any target whose load is known.
+/// Refuses a short prompt if the load of the best target is known and its first token is expected after the deadline.
 void CallerApi::refuseIfTooLate(const dispatch::AdmittedRequest &admitted) const
 {
     const auto views = m_parts.runs.targets.views(*admitted.targets, admitted.arrivedAt);
@@ -176,7 +177,8 @@
     return std::make_shared<RunGuard>(std::move(run), std::move(place), std::move(giveBack));
 }
 
-/// Claims the key of a request that must not run twice. Returns the claim's name; empty when none is needed.
+/// Claims the idempotency key of a request that must not run twice. Returns the name of the claim; empty if none is
+/// needed.
 std::string CallerApi::claimKey(const dispatch::AdmittedRequest &admitted, const std::string &idempotencyKey)
 {
     if (admitted.repeatable || idempotencyKey.empty()) {
--- a/src/daemon/completion_response.h
+++ b/src/daemon/completion_response.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: answers a completion
+// spurlug: writes the response to a completion request
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -23,23 +23,24 @@
 namespace spurlug::daemon
 {
 
-/// \brief After this time a stream starts with its outcome still open.
+/// \brief Maximum time before a stream starts although the outcome of the request is still unknown.
 inline constexpr auto StatusPatience = absl::Milliseconds(1500);
 
-/// \brief Waits until the request has something to say that decides the response's status, at most `patience`.
+/// \brief Waits for the first output of the request, which determines the status of the response.
+/// \returns `dispatch::Quiet` if there is none within the given time.
 [[nodiscard]] inline dispatch::Output firstOutput(dispatch::RequestRun &run, core::Duration patience)
 {
     const auto until = core::now() + patience;
     while (true) {
-        auto output
-            = run.next(std::min(core::Duration(CallerLookInterval), std::max(until - core::now(), absl::ZeroDuration())));
+        auto output = run.next(
+            std::min(core::Duration(CallerLookInterval), std::max(until - core::now(), absl::ZeroDuration())));
         if (!std::holds_alternative<dispatch::Quiet>(output) || core::now() >= until) {
             return output;
         }
     }
 }
 
-/// \brief Writes one completion to its caller.
+/// \brief Writes the answer to one completion request.
 class CompletionResponse
 {
 public:
@@ -51,7 +52,7 @@
         , m_writer(kind, m_guard->run->request().id, m_fields.model)
     { }
 
-    /// \brief Waits for the whole answer, or for the failure.
+    /// \brief Waits until the request is complete or has failed, and writes the full answer or the error.
     void writeWhole(httplib::Response &response)
     {
         while (true) {
@@ -71,7 +72,8 @@
         }
     }
 
-    /// \brief Starts the stream once the status is known, or patience is at its end.
+    /// \brief Starts the stream when the first output is available or `StatusPatience` has passed; a failure until then
+    /// becomes an error response.
     static void writeStream(const std::shared_ptr<CompletionResponse> &self, httplib::Response &response)
     {
         auto first = firstOutput(*self->m_guard->run, StatusPatience);
--- a/src/daemon/completion_writer.cpp
+++ b/src/daemon/completion_writer.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: answers of model engines in the shape callers expect
+// spurlug: converts answers of model engines to the OpenAI format for callers
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/daemon/config_follower.cpp
+++ b/src/daemon/config_follower.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: keeps this daemon's configuration the newest that can be reached
+// spurlug: keeps this daemon's configuration up to date
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -76,7 +76,8 @@
     }
 }
 
-/// Daemons that start together do not all read the platform: most get the configuration from the first one that has it.
+/// Spreads the first reads of daemons that start together, so that most of them get the configuration from the first
+/// one that has it and not from the platform.
 core::Duration ConfigFollower::startDelay()
 {
     std::uniform_real_distribution<double> share(0, 1);
@@ -92,7 +93,7 @@
     return full * jitter(m_random);
 }
 
-/// Parts that were read stay when a later one cannot be: the next try reads only the rest.
+/// Keeps the parts already read if a later one cannot be read, so that the next attempt reads only the rest.
 void ConfigFollower::takeFromPlatform(const objects::Object &root)
 {
     for (const auto &hash : m_store.missingParts(config::readRoot(root.value))) {
@@ -160,7 +161,7 @@
     return VmListTick;
 }
 
-/// Watchers and delegates are the first to speak to a new VM; the others are spoken to.
+/// Watchers and delegates are the first to contact a new VM; the other daemons wait to be contacted.
 bool ConfigFollower::readsVmListOften(core::Time now) const
 {
     return m_fleet.holds(WatcherRole, Watchers, now) || !m_fleet.sendToOtherDomains(now).empty();
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the whole daemon
+// spurlug: starts, connects and stops all components of the daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -36,7 +36,8 @@
 namespace
 {
 
-constexpr auto NoticeTime = absl::Milliseconds(2000); // For the balancer to see that the ready check fails.
+constexpr auto NoticeTime
+    = absl::Milliseconds(2000); // Time for the load balancer to notice that the readiness check fails.
 constexpr auto DrainPoll = absl::Milliseconds(20);
 constexpr auto LastWrites = absl::Milliseconds(100);
 
@@ -188,7 +189,7 @@
     }
     auto answer = peers.acquire(broker, pool, ask, now - ask.askedAt, wait);
     if (answer.notBroker) {
-        throw core::NetworkError("the peer does not hold the broker's role");
+        throw core::NetworkError("the peer does not hold the broker role");
     }
     if (!answer.grant) {
         return std::nullopt;
@@ -265,7 +266,7 @@
         fleet.setState(membership::DaemonState::Serving);
     }
     if (starting || fleet.holds(WatcherRole, Watchers, core::now())) {
-        heartbeats->sendNow(); // Peers wait for this generation.
+        heartbeats->sendNow(); // Peers are waiting for this generation.
     }
     core::log(core::LogLevel::Info, "configuration_applied", {{"generation", configuration->generation}});
 }
@@ -280,7 +281,8 @@
     try {
         return peers.claim(peer->news.rpcAddress, wish);
     } catch (const core::NetworkError &) {
-        return claimHere(wish); // The owner is gone: any daemon may commit, its wish names the same request.
+        return claimHere(
+            wish); // The owner is unreachable. Any daemon may commit the claim, as it names the same request.
     }
 }
 
--- a/src/daemon/decision_finder.cpp
+++ b/src/daemon/decision_finder.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: finds a recorded decision at whichever daemon has it
+// spurlug: finds a recorded decision at the daemon that has it
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// The VM that a request id names: all before the second last dot.
+/// Returns the VM that a request id names: the text before the second last dot.
 std::string vmOf(const std::string &requestId)
 {
     const auto last = requestId.rfind('.');
--- a/src/daemon/error_body.cpp
+++ b/src/daemon/error_body.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what callers are told when a request is refused or fails
+// spurlug: error responses for callers whose request is refused or fails
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/daemon/http_listener.cpp
+++ b/src/daemon/http_listener.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: an HTTP listener with a bounded pool of its own
+// spurlug: HTTP listener with its own bounded thread pool
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -27,7 +27,7 @@
 
 thread_local bool t_overloaded = false;
 
-/// Threads for connections, and one spare thread for those beyond the bound.
+/// Runs each connection on a thread of a bounded pool, and connections above the limit on one overflow thread.
 class BoundedTaskQueue : public httplib::TaskQueue
 {
 public:
@@ -93,7 +93,7 @@
     if (m_address.port == 0) {
         throw core::NetworkError(address.text() + ": cannot listen");
     }
-    listen(m_impl->socket, Backlog); // The library's own backlog of 5 drops connections in a burst.
+    listen(m_impl->socket, Backlog); // The library's backlog of 5 drops connections in a burst.
     m_impl->thread = std::thread([this] { m_impl->server.listen_after_bind(); });
     while (!server.is_running()) {
         std::this_thread::yield();
--- a/src/daemon/incoming_body.cpp
+++ b/src/daemon/incoming_body.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a request's body on its way in
+// spurlug: reads the body of an incoming request
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -52,7 +52,8 @@
     return body;
 }
 
-/// A body that comes in chunks may be as large as the bound; without any header there is no body.
+/// Size of the body according to the headers. A chunked body counts as `mostBytes`, as its size is not known; without
+/// `Content-Length` and `Transfer-Encoding` there is no body.
 std::int64_t IncomingBody::announcedBytes(std::int64_t mostBytes) const
 {
     std::int64_t announced = 0;
--- a/src/daemon/peer_calls.cpp
+++ b/src/daemon/peer_calls.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: calls to other daemons
+// spurlug: gRPC client for calls to other daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -18,7 +18,7 @@
 {
 
 constexpr auto CallTimeout = absl::Seconds(2);
-constexpr auto ClaimTimeout = absl::Seconds(10); // The owner may have to try several times.
+constexpr auto ClaimTimeout = absl::Seconds(10); // The owner may need several attempts.
 constexpr std::size_t MostChannels = 512;
 
 void setDeadline(grpc::ClientContext &context, core::Duration timeout)
@@ -29,7 +29,7 @@
 void throwUnlessOk(const grpc::Status &status)
 {
     if (!status.ok()) {
-        throw core::NetworkError(core::cat("peer: ", status.error_message()));
+        throw core::NetworkError(core::cat("call to peer failed: ", status.error_message()));
     }
 }
 
--- a/src/daemon/peer_server.cpp
+++ b/src/daemon/peer_server.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: answers calls from other daemons
+// spurlug: gRPC server for calls from other daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -147,7 +147,7 @@
         return finish(context);
     }
 
-    /// May ask a peer in turn, so it works on a thread of its own and never holds one of gRPC's.
+    /// The search may call a peer, so it runs on a separate pool and does not block a gRPC thread.
     grpc::ServerUnaryReactor *Explain(grpc::CallbackServerContext *context, const wire::ExplainRequest *request,
                                       wire::ExplainReply *reply) override
     {
--- a/src/daemon/service_response.h
+++ b/src/daemon/service_response.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: answers a call to a plain service
+// spurlug: writes the response to a call of a plain service
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,10 +16,10 @@
 namespace spurlug::daemon
 {
 
-/// \brief Answers of services up to this size are sent whole.
+/// \brief Response bodies below this size are buffered and sent with a content length; larger ones are sent in chunks.
 inline constexpr std::size_t PlainBytesHeld = 256U << 10;
 
-/// \brief Writes one answer of a plain service to its caller.
+/// \brief Writes the response of a plain service to the caller.
 class ServiceResponse
 {
 public:
@@ -27,7 +27,7 @@
         : m_guard(std::move(guard))
     { }
 
-    /// \brief Sends a small answer whole and a large one in chunks.
+    /// \brief Sends a small response with a content length and a large one in chunks.
     static void write(const std::shared_ptr<ServiceResponse> &self, httplib::Response &response)
     {
         while (self->m_held.size() < PlainBytesHeld) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A failure after the head can only be told by cutting the connection before the last chunk.
+    /// Once the head has been sent, a failure can be signalled only by closing the connection before the last chunk.
     bool pump(httplib::DataSink &sink)
     {
         if (!m_held.empty()) {
--- a/src/dispatch/event_channel.cpp
+++ b/src/dispatch/event_channel.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: events of one attempt, on their way from the target's thread to the caller's
+// spurlug: bounded queue that passes the events of one attempt between threads
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/dispatch/reassembly.cpp
+++ b/src/dispatch/reassembly.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the whole answer, in order, from events that come late, twice or disordered
+// spurlug: reassembles an answer from token events that are late, repeated or out of order
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/dispatch/request_run.cpp
+++ b/src/dispatch/request_run.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the life of one admitted request
+// spurlug: relays one admitted request to its targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -25,7 +25,7 @@
 using core::Outcome;
 using core::Reason;
 
-constexpr auto EngineSilence = absl::Seconds(4); // Engines send a comment a second while they prefill.
+constexpr auto EngineSilence = absl::Seconds(4); // Engines send one SSE comment per second during prefill.
 constexpr auto LongestGrantCall = absl::Seconds(1);
 constexpr auto BrokerBackoff = absl::Milliseconds(100);
 
@@ -214,7 +214,7 @@
     m_context.metrics.count(metrics::Counter::AttemptsStarted);
     const auto attempt = makeAttempt(address);
     const auto kind = m_request.kind;
-    // The run outlives its attempt's use of the body: the task keeps a reference to it.
+    // The attempt reads the request body, which this object owns, so the task holds a reference to this object.
     const bool started
         = m_context.attempts.tryRun([attempt, kind, channel = m_channel, run = core::Ref<RequestRun>(this)] {
               if (kind == TargetKind::Engine) {
--- a/src/dispatch/retry.cpp
+++ b/src/dispatch/retry.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: whether, when and why a request is sent again
+// spurlug: decides whether and when a failed request is retried
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/dispatch/target_client.cpp
+++ b/src/dispatch/target_client.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: sends an attempt to a target over HTTP
+// spurlug: sends attempts to targets over HTTP
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -22,9 +22,9 @@
 
 constexpr int Ok = 200;
 constexpr int FirstServerError = 500;
-constexpr std::string_view RanHeader = "Request-Ran"; // A target's own word: "no" when it did not begin the work.
+constexpr std::string_view RanHeader = "Request-Ran"; // Sent by the target; "no" if it did not start the request.
 
-/// Counts what was sent, which tells whether a target can have begun.
+/// What has been received from the target so far.
 struct Progress
 {
     int status = 0;
@@ -62,7 +62,8 @@
     return request;
 }
 
-/// The request line is written right after the connection is made, so only a failed connection proves silence.
+/// The request is sent as soon as the connection is established, so only a connection failure proves that nothing was
+/// sent.
 bool provesNothingSent(httplib::Error error)
 {
     return error == httplib::Error::Connection || error == httplib::Error::ConnectionTimeout;
@@ -86,13 +87,15 @@
                 Reason::TargetRefused,
                 progress.status,
                 detail,
-                progress.status >= FirstServerError && progress.retryAfterSeconds == 0, // A cooldown is no failure.
+                progress.status >= FirstServerError
+                    && progress.retryAfterSeconds == 0, // A requested cooldown is not a failure.
                 progress.retryAfterSeconds};
     }
     return {Outcome::MayHaveRun, Reason::TargetFailed, progress.status, detail, progress.status >= FirstServerError};
 }
 
-/// Sends on a fresh connection; `cancel` on the channel closes it, which tells the target that nobody listens.
+/// Sends the request on a new connection. Cancelling the channel closes the connection, by which the target notices
+/// that the answer is no longer wanted.
 httplib::Result send(const AttemptRequest &attempt, const httplib::Request &request, EventChannel &events)
 {
     httplib::Client client(attempt.target.host, attempt.target.port);
