--- a/include/spurlug/membership/domain_table.h
+++ b/include/spurlug/membership/domain_table.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what other failure domains tell
+// spurlug: summaries of other failure domains
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,56 +16,55 @@
 namespace spurlug::membership
 {
 
-/// \brief One target's load on the wire.
+/// \brief Load of a target as sent in heartbeats.
 struct ObservedLoad
 {
-    std::uint32_t target = 0; ///< targets::targetHash of its id.
+    std::uint32_t target = 0; ///< `targets::targetHash` of its id.
     targets::LoadReport report;
     core::Duration age; ///< Age of the report when it was sent.
 };
 
-/// \brief One pool of a failure domain.
+/// \brief Summary of a pool in a failure domain.
 struct PoolSummary
 {
-    std::uint32_t pool = 0; ///< targets::targetHash of its name.
-    std::int64_t usable = 0; ///< Targets that can take work.
-    std::vector<ObservedLoad> best; ///< Some of the least loaded ones.
+    std::uint32_t pool = 0; ///< `targets::targetHash` of its name.
+    std::int64_t usable = 0; ///< Number of targets that can accept work.
+    std::vector<ObservedLoad> best; ///< Some of the least loaded targets.
     core::Address broker; ///< Port 0: none.
 };
 
-/// \brief What a failure domain tells the others.
+/// \brief Summary that a failure domain sends to the others.
 struct DomainSummary
 {
     std::string failureDomain;
-    std::int64_t lowestGeneration = 0; ///< In force at every daemon of the domain.
-    std::int64_t daemons = 0; ///< Daemons that serve.
+    std::int64_t lowestGeneration = 0; ///< Lowest configuration generation that any daemon of the domain uses.
+    std::int64_t daemons = 0; ///< Number of serving daemons.
     std::vector<PoolSummary> pools;
-    core::Address rpcAddress; ///< Of a daemon that answers for the domain.
-    core::Duration age; ///< When it was sent, or as of the present time where a query says so.
+    core::Address rpcAddress; ///< RPC address of a daemon that answers for the domain.
+    core::Duration age; ///< Age when it was sent; queries that take `now` return the age as of then.
 };
 
-/// \brief Keeps the newest summary of each other failure domain: a pure state machine.
+/// \brief Keeps the newest summary of each other failure domain. Has no I/O and no clock.
 ///
-/// Summaries are never forgotten, so that limits keep counting the daemons of a domain that cannot be heard; their age
-/// tells what they are still good for.
+/// Summaries never expire, so that limits still count the daemons of an unreachable domain; callers check their age.
 class DomainTable
 {
 public:
     /// \param own Failure domain of this daemon; summaries of it are dropped.
     explicit DomainTable(std::string own);
 
-    /// \brief Takes a summary, unless a newer one is known.
-    /// \param direct Whether a daemon of that failure domain sent it itself.
-    /// \returns Whether it was news.
+    /// \brief Stores a summary unless an equally recent or newer one is known.
+    /// \param direct Whether it came directly from a daemon of that failure domain.
+    /// \returns Whether it was stored.
     bool hear(const DomainSummary &summary, bool direct, core::Time now);
 
-    /// \brief All summaries; ages as of `now`.
+    /// \brief All summaries, with ages as of `now`.
     [[nodiscard]] std::vector<DomainSummary> known(core::Time now) const;
 
-    /// \brief Summaries heard directly and not long ago: this daemon repeats them to its own failure domain.
+    /// \brief Summaries recently received directly, which this daemon forwards to its own failure domain.
     [[nodiscard]] std::vector<DomainSummary> toRepeat(core::Time now) const;
 
-    /// \brief Age of a domain's summary; infinite when there is none.
+    /// \brief Age of a domain's summary; infinite if there is none.
     [[nodiscard]] core::Duration age(const std::string &failureDomain, core::Time now) const;
 
 private:
--- a/include/spurlug/membership/fleet.h
+++ b/include/spurlug/membership/fleet.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the shared view of the fleet: peers and who holds which role
+// spurlug: thread-safe view of the fleet: peers, failure domains and role holders
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -20,22 +20,27 @@
 namespace spurlug::membership
 {
 
-/// \brief A PeerTable behind a lock, and this daemon's own state. Safe to use from several threads.
+/// \brief The known peers, the summaries of other failure domains and this daemon's own state. Thread-safe.
 class Fleet
 {
 public:
-    /// \param allDomains Names of all failure domains of the fleet; empty: those that are heard of.
+    /// \param timeout Time without a heartbeat after which a peer counts as gone.
+    /// \param allDomains Names of all failure domains of the fleet; if empty, only those that become known count.
     Fleet(const std::string &self, const std::string &failureDomain, core::Duration timeout,
           std::vector<std::string> allDomains = {});
 
     /// \name Commands
     /// @{
+    /// \brief Records a heartbeat; see PeerTable::hear.
     HeardResult hear(const PeerNews &news, core::Time now) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// \brief Applies a VM list; see PeerTable::noteVmList.
     void noteVmList(const std::vector<objects::VmEntry> &entries) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// \brief Extends the timeouts of peers after a pause of this process; see PeerTable::noteOwnPause.
     void noteOwnPause(core::Duration gap, core::Time now) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// \brief Removes peers that have been silent for long; see PeerTable::forgetSilent.
     void forgetSilent(core::Time now) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// \brief Takes the summaries of a heartbeat.
-    /// \returns Those that were news.
+    /// \brief Stores the summaries of a heartbeat.
+    /// \returns Those that were new.
     std::vector<DomainSummary> hearSummaries(const Heartbeat &heartbeat, core::Time now) ABSL_LOCKS_EXCLUDED(m_mutex);
     void setState(DaemonState state) noexcept;
     /// @}
@@ -43,24 +48,28 @@
     /// \name Queries
     /// @{
     [[nodiscard]] DaemonState state() const noexcept;
+    /// \brief Daemons of this failure domain that may hold roles; see PeerTable::roleHolders.
     [[nodiscard]] std::vector<std::string> roleHolders(core::Time now) const ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// \brief The daemon of this failure domain that holds a role now; empty when none does.
+    /// \brief The daemon of this failure domain that holds a role; empty if there is none.
     [[nodiscard]] std::string holder(std::string_view role, core::Time now) const;
-    /// \brief Whether this daemon is among the first `count` for a role.
+    /// \brief Whether this daemon is among the first `count` daemons in the ranking for a role.
     [[nodiscard]] bool holds(std::string_view role, std::size_t count, core::Time now) const;
+    /// \brief Addresses in this failure domain that get heartbeats; see PeerTable::sendTo.
     [[nodiscard]] std::vector<core::Address> sendTo() const ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// \brief A peer by the name of its VM; nothing if it is unknown.
     [[nodiscard]] std::optional<Peer> find(const std::string &vm) const ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// \brief Peers whose heartbeats are heard.
+    /// \brief Peers that sent a heartbeat within the timeout.
     [[nodiscard]] std::vector<Peer> alive(core::Time now) const ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// \brief Addresses in other failure domains that this daemon, as their delegate, sends to.
+    /// \brief Addresses in other failure domains that get heartbeats from this daemon as the delegate for these
+    /// domains.
     [[nodiscard]] std::vector<core::Address> sendToOtherDomains(core::Time now) const ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// \brief Summaries of other failure domains, ages as of `now`.
+    /// \brief Summaries of other failure domains, with ages as of `now`.
     [[nodiscard]] std::vector<DomainSummary> domains(core::Time now) const ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// \brief Summaries that this daemon repeats to its own failure domain.
+    /// \brief Summaries that this daemon forwards to its own failure domain.
     [[nodiscard]] std::vector<DomainSummary> summariesToRepeat(core::Time now) const ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// \brief Daemons of the whole fleet, those of domains that cannot be heard as they were last known. One that was
-    /// never heard counts as large as this daemon's own: sides that are cut from their start do not each take
-    /// themselves for the fleet.
+    /// \brief Number of daemons in the fleet. Unreachable domains count with their last known size. A domain that was
+    /// never heard from counts with the size of this daemon's own; otherwise each side of a network partition that
+    /// exists from the start would take itself for the whole fleet.
     [[nodiscard]] std::size_t daemons(core::Time now) const ABSL_LOCKS_EXCLUDED(m_mutex);
     [[nodiscard]] const std::string &failureDomain() const noexcept;
     [[nodiscard]] const std::string &self() const noexcept;
--- a/include/spurlug/membership/heartbeat.h
+++ b/include/spurlug/membership/heartbeat.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: heartbeats on the wire
+// spurlug: heartbeat messages and their encoding
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -20,38 +20,40 @@
 namespace spurlug::membership
 {
 
-/// \brief What is told of the daemons of a failure domain.
+/// \brief Daemons of a failure domain as reported in a heartbeat.
 struct DomainRoster
 {
     std::string failureDomain;
-    std::size_t daemons = 0; ///< That live there.
-    core::Duration age = absl::ZeroDuration(); ///< Since a daemon that keeps the domain's list said so.
-    std::vector<PeerNews> members; ///< Those that hold roles or would be next; none: as the receiver knows.
+    std::size_t daemons = 0; ///< Number of live daemons.
+    core::Duration age = absl::ZeroDuration(); ///< Time since a registrar of the domain reported this.
+    std::vector<PeerNews> members; ///< Role holders and next candidates; empty if the receiver knows them already.
 };
 
-/// \brief A whole heartbeat.
+/// \brief Content of a heartbeat.
 struct Heartbeat
 {
     PeerNews news;
     std::vector<ObservedLoad> loads;
     std::vector<DomainSummary> summaries;
-    std::vector<targets::TargetWork> work; ///< Of the sender itself.
-    std::vector<std::uint32_t> unreachable; ///< targets::targetHash of targets that do not answer the sender.
-    std::vector<std::uint32_t> leaving; ///< Targets that leave though their entries do not say so, by relay::lifeHash.
-    std::vector<targets::RateNews> rates; ///< Of targets that named a rate, or no longer do.
-    std::vector<core::Address> knownPeers; ///< Of some daemons that the sender hears.
+    std::vector<targets::TargetWork> work; ///< Work of the sender itself.
+    std::vector<std::uint32_t> unreachable; ///< `targets::targetHash` of targets that do not answer the sender.
+    /// `relay::lifeHash` of targets that leave although their entries do not say so.
+    std::vector<std::uint32_t> leaving;
+    std::vector<targets::RateNews> rates; ///< Rate limits that targets have set or lifted.
+    std::vector<core::Address> knownPeers; ///< Addresses of some daemons that the sender receives heartbeats from.
     bool wantsAnswer = false; ///< Whether the receiver should answer with a heartbeat of its own.
-    std::uint32_t rostersDigest = 0; ///< Of the members that the sender was told of.
+    std::uint32_t rostersDigest = 0; ///< Digest of the members that the sender knows.
     std::vector<DomainRoster> rosters;
-    std::size_t largestDomain = 0; ///< Most daemons of its own failure domain that the sender ever knew of at once.
+    /// Largest number of daemons of its failure domain that the sender ever knew at once.
+    std::size_t largestDomain = 0;
 };
 
-/// \brief Writes and signs a heartbeat as one datagram.
+/// \brief Encodes and signs a heartbeat as one datagram.
 /// \param key Shared secret; empty leaves the datagram unsigned.
 [[nodiscard]] std::string writeHeartbeat(const Heartbeat &heartbeat, std::string_view key);
 
-/// \brief Checks and reads a datagram.
-/// \returns Nothing when the signature is wrong or the bytes are no heartbeat.
+/// \brief Verifies and decodes a datagram.
+/// \returns Nothing if the signature is wrong or the bytes are not a valid heartbeat.
 [[nodiscard]] std::optional<Heartbeat> readHeartbeat(std::string_view datagram, std::string_view key);
 
 } // namespace spurlug::membership
--- a/include/spurlug/membership/heartbeat_service.h
+++ b/include/spurlug/membership/heartbeat_service.h
@@ -19,32 +19,34 @@
 namespace spurlug::membership
 {
 
-/// \brief Who gets a heartbeat.
+/// \brief Recipients of a heartbeat.
 enum class Audience
 {
     OwnDomain,
-    OwnDomainWithSummaries, ///< Each eighth round: what other failure domains told is repeated.
-    OtherDomains, ///< Contacts in failure domains whose delegate this daemon is.
+    OwnDomainWithSummaries, ///< In every eighth round: includes the summaries of other failure domains.
+    OtherDomains, ///< Contacts in the failure domains that this daemon is the delegate for.
 };
 
-/// \brief What the service asks of the rest of the daemon.
+/// \brief Callbacks of the service into the daemon.
 struct HeartbeatHooks
 {
-    std::function<Heartbeat(Audience)> compose; ///< Own news, the sequence left out, and own loads.
-    std::function<void(const Heartbeat &, core::Time)> received; ///< An accepted heartbeat.
+    std::function<Heartbeat(Audience)> compose; ///< Builds a heartbeat without its sequence number.
+    std::function<void(const Heartbeat &, core::Time)> received; ///< Called for each accepted heartbeat.
 };
 
-/// \brief Sends a heartbeat to each peer of the failure domain once an interval, and takes in theirs.
+/// \brief Sends a heartbeat to each peer of the failure domain once per interval, and receives theirs.
 class HeartbeatService
 {
 public:
-    /// \param socket Bound already; shared with nobody else.
-    /// \param seeds Addresses that get heartbeats beside the known peers.
+    /// \param socket Bound socket, used exclusively by this service.
+    /// \param key Shared secret that signs heartbeats.
+    /// \param seeds Addresses that get heartbeats in addition to the known peers.
+    /// \param interval Time between heartbeats.
     HeartbeatService(Fleet &fleet, metrics::Metrics &metrics, std::unique_ptr<UdpSocket> socket, std::string key,
                      std::vector<core::Address> seeds, core::Duration interval, HeartbeatHooks hooks);
     ~HeartbeatService();
 
-    /// \brief Sends the next heartbeat now: there is news that peers should not wait for.
+    /// \brief Sends the next heartbeat at once, for urgent changes.
     void sendNow();
 
     HeartbeatService(const HeartbeatService &) = delete;
--- a/include/spurlug/membership/peer_table.h
+++ b/include/spurlug/membership/peer_table.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which daemons are alive
+// spurlug: table of peer daemons and their liveness
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -17,46 +17,46 @@
 namespace spurlug::membership
 {
 
-/// \brief What a daemon says it is doing.
+/// \brief State that a daemon reports for itself.
 enum class DaemonState
 {
     Starting, ///< It has no configuration yet.
     Serving,
-    Leaving, ///< It finishes what it has; roles move away from it.
+    Leaving, ///< It finishes its requests; other daemons take over its roles.
 };
 
-/// \brief What a heartbeat says of its sender.
+/// \brief What a heartbeat reports about its sender.
 struct PeerNews
 {
     std::string vm;
-    std::string failureDomain; ///< Empty unless the heartbeat introduces its sender.
-    core::Address peerAddress; ///< Port 0 unless the heartbeat introduces its sender.
-    core::Address rpcAddress; ///< Port 0 unless the heartbeat introduces its sender.
-    double processorShare = 0; ///< Of a core; 0 unless the heartbeat introduces its sender.
-    std::uint64_t incarnation = 0; ///< Higher after each start of the daemon.
-    std::uint64_t sequence = 0; ///< Higher with each heartbeat of one incarnation.
+    std::string failureDomain; ///< Empty unless the heartbeat contains an introduction.
+    core::Address peerAddress; ///< Port 0 unless the heartbeat contains an introduction.
+    core::Address rpcAddress; ///< Port 0 unless the heartbeat contains an introduction.
+    double processorShare = 0; ///< In cores; 0 unless the heartbeat contains an introduction.
+    std::uint64_t incarnation = 0; ///< Increases with each start of the daemon.
+    std::uint64_t sequence = 0; ///< Increases with each heartbeat of an incarnation.
     DaemonState state = DaemonState::Starting;
     std::int64_t generation = 0;
     std::int64_t refusedGeneration = 0;
 };
 
-/// \brief A peer as this daemon knows it.
+/// \brief Last known state of a peer.
 struct Peer
 {
     PeerNews news;
     core::Time heardAt = absl::InfinitePast();
-    bool listedLeaving = false; ///< The VM list says it is leaving.
+    bool listedLeaving = false; ///< Whether the VM list marks it as leaving.
 };
 
-/// \brief What became of a heartbeat.
+/// \brief Result of recording a heartbeat.
 enum class HeardResult
 {
     Accepted,
-    New, ///< Accepted; the peer, or this incarnation of it, was not known.
-    Repeated, ///< Its sequence number is not higher than the last one: dropped.
-    Outdated, ///< It is from an earlier incarnation: dropped.
-    Unknown, ///< It does not introduce its sender, who is not known: dropped.
-    Own, ///< It carries this daemon's own name: dropped.
+    New, ///< Accepted; the peer or its incarnation was unknown before.
+    Repeated, ///< Dropped: its sequence number is not higher than the last one.
+    Outdated, ///< Dropped: it is from an earlier incarnation.
+    Unknown, ///< Dropped: its sender or incarnation is unknown, and it has no introduction.
+    Own, ///< Dropped: it has this daemon's own VM name.
 };
 
 } // namespace spurlug::membership
@@ -91,56 +91,60 @@
 namespace spurlug::membership
 {
 
-/// \brief The table of peers: a pure state machine, driven by heartbeats, the VM list and the time.
+/// \brief Table of peers, updated by heartbeats, the VM list and the time. Has no I/O and no clock.
 ///
-/// A peer is alive while its heartbeats are heard. The VM list only adds addresses to speak to and marks peers that
-/// are leaving: an empty, stale or missing list removes nobody.
+/// A peer is alive while its heartbeats arrive. The VM list only adds addresses to contact and marks peers that are
+/// leaving: an empty, outdated or missing list removes no peer.
 class PeerTable
 {
 public:
     /// \param self Name of this daemon's VM.
     /// \param failureDomain Failure domain of this daemon.
-    /// \param timeout Silence after which a peer counts as gone.
+    /// \param timeout Time without a heartbeat after which a peer counts as gone.
     PeerTable(std::string self, std::string failureDomain, core::Duration timeout);
 
     /// \name Commands
     /// @{
 
+    /// \brief Records a heartbeat, unless it is outdated, repeated, from an unknown sender or from this daemon.
     HeardResult hear(const PeerNews &news, core::Time now);
 
-    /// \brief Takes a VM list. Entries that have never been heard stay unknown until they are.
+    /// \brief Applies a VM list. A listed VM becomes a peer with its first heartbeat.
     void noteVmList(const std::vector<objects::VmEntry> &entries);
 
-    /// \brief Notes that this daemon itself stood still for `gap`: peers get that much longer.
+    /// \brief Records that this daemon itself was paused for `gap`, and extends the timeouts of all peers by that.
     void noteOwnPause(core::Duration gap, core::Time now);
 
-    /// \brief Forgets peers that have been silent ten times as long as it takes to count as gone.
+    /// \brief Removes peers that have been silent for ten times the timeout.
     void forgetSilent(core::Time now);
 
     /// @}
     /// \name Queries
     /// @{
 
-    /// \brief Whether a peer's heartbeats are heard.
+    /// \brief Whether a peer's last heartbeat is within the timeout.
     [[nodiscard]] bool alive(const Peer &peer, core::Time now) const;
 
-    /// \brief Names of the daemons of this failure domain that hold roles, this one included while it may.
-    /// \param selfHoldsRoles False while this daemon is leaving.
+    /// \brief VM names of the daemons of this failure domain that may hold roles.
+    /// \param selfHoldsRoles Whether to include this daemon; true only while it is serving.
     [[nodiscard]] std::vector<std::string> roleHolders(bool selfHoldsRoles, core::Time now) const;
 
-    /// \brief Where heartbeats go: each known peer, alive or not, and listed VMs not heard yet.
+    /// \brief Addresses in this failure domain that get heartbeats: each known peer, alive or not, and listed VMs not
+    /// heard from yet.
     [[nodiscard]] std::vector<core::Address> sendTo() const;
 
-    /// \brief Other failure domains that are known of.
+    /// \brief Other known failure domains.
     [[nodiscard]] std::vector<std::string> otherDomains() const;
 
-    /// \brief Addresses of daemons of another failure domain, those that are heard first.
-    /// \param most Most addresses.
+    /// \brief Addresses of daemons of another failure domain, live ones first.
+    /// \param most Maximum number of addresses.
     [[nodiscard]] std::vector<core::Address> contactsIn(const std::string &failureDomain, std::size_t most,
                                                         core::Time now) const;
 
+    /// \brief A peer by the name of its VM; null if it is unknown.
     [[nodiscard]] const Peer *find(const std::string &vm) const;
 
+    /// \brief All peers by the name of their VM, alive or not.
     [[nodiscard]] const std::map<std::string, Peer> &peers() const noexcept;
 
     /// @}
--- a/include/spurlug/membership/udp_socket.h
+++ b/include/spurlug/membership/udp_socket.h
@@ -13,28 +13,28 @@
 namespace spurlug::membership
 {
 
-/// \brief A bound UDP socket, closed at the end of its life.
+/// \brief A bound UDP socket. The destructor closes it.
 class UdpSocket
 {
 public:
-    /// \param address Port 0 lets the kernel choose.
-    /// \throws NetworkError
+    /// \param address Address to bind to; with port 0 the kernel chooses a port.
+    /// \throws NetworkError if the socket cannot be opened or bound.
     explicit UdpSocket(const core::Address &address);
     ~UdpSocket();
     UdpSocket(const UdpSocket &) = delete;
     UdpSocket &operator=(const UdpSocket &) = delete;
 
-    /// \brief Address the socket is bound to.
+    /// \brief Address that the socket is bound to.
     [[nodiscard]] core::Address address() const;
 
-    /// \brief Sends a datagram. A datagram that cannot be sent is lost, as any may be.
+    /// \brief Sends a datagram. Errors are ignored, as any datagram may be lost.
     void send(const std::string &datagram, const core::Address &to);
 
-    /// \brief Waits for a datagram.
-    /// \returns Nothing once the socket is shut down, or after a receive fault.
+    /// \brief Waits for a datagram; retries after receive errors.
+    /// \returns Nothing once the socket is shut down.
     [[nodiscard]] std::optional<std::string> receive();
 
-    /// \brief Ends a waiting `receive`.
+    /// \brief Ends a waiting `receive`, within 100 ms.
     void shutDown();
 
 private:
--- a/include/spurlug/membership/work_codec.h
+++ b/include/spurlug/membership/work_codec.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a daemon's work at a target, and the rate that it takes, on the wire
+// spurlug: encoding of a daemon's work at a target and of rate limits
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,7 +13,7 @@
 namespace spurlug::membership
 {
 
-/// \brief A number as 32-bit fields carry it: what does not fit becomes the nearest number that does.
+/// \brief Clamps a number to the range of an unsigned 32-bit field.
 [[nodiscard]] std::uint32_t clamp32(std::int64_t value) noexcept;
 
 void writeWork(const targets::TargetWork &work, wire::TargetWork &out);
--- a/include/spurlug/relay/context.h
+++ b/include/spurlug/relay/context.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what the coroutines of a relaying daemon share
+// spurlug: state shared by the coroutines of a relay daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -33,8 +33,8 @@
 namespace spurlug::relay
 {
 
-/// \brief State of the daemon. Used on the loop's thread only, so it needs no lock; nothing keeps a reference into its
-/// tables across a suspension, but counted ones.
+/// \brief State of the daemon. Used on the loop's thread only, so it needs no lock. Coroutines must not hold references
+/// into its tables across a suspension point, except reference-counted ones.
 struct RelayContext
 {
     RelayContext(net::Loop &loop, const settings::RelaySettings &settings, metrics::Metrics &metrics,
@@ -43,58 +43,64 @@
     net::Loop &loop;
     const settings::RelaySettings &settings;
     metrics::Metrics &metrics;
-    config::RouteTableRef table; ///< Null until the first configuration was read.
-    std::string document; ///< The table's source, for peers.
-    std::unordered_map<std::string, config::ShortestPauses> pauses; ///< By service, of the table in force.
+    config::RouteTableRef table; ///< Null until the first configuration has been read.
+    std::string document; ///< Source text of the table, for peers.
+    std::unordered_map<std::string, config::ShortestPauses> pauses; ///< By service, from the current table.
     Freshness configurationProof;
-    core::Time proofTriedAt = absl::InfinitePast(); ///< When an attempt to renew the proof ended last, however it did.
-    core::Time configurationHeardAt = absl::InfinitePast(); ///< When the directory last answered for the configuration.
-    core::Time targetsKnownAt = absl::InfinitePast(); ///< When the list of targets was known to be the newest.
-    core::Time targetsHeardAt = absl::InfinitePast(); ///< When the directory last answered for the targets.
-    DirectoryPosition targetsPosition; ///< What the list of targets is as of.
-    TargetLog targetLog; ///< How the list came to be what it is.
+    /// When the last attempt to confirm the configuration ended, whether it succeeded or not.
+    core::Time proofTriedAt = absl::InfinitePast();
+    /// When the directory last answered a configuration request.
+    core::Time configurationHeardAt = absl::InfinitePast();
+    /// Last time at which the list of targets was known to be the newest.
+    core::Time targetsKnownAt = absl::InfinitePast();
+    core::Time targetsHeardAt = absl::InfinitePast(); ///< When the directory last answered a targets request.
+    DirectoryPosition targetsPosition; ///< Directory position of the list of targets.
+    TargetLog targetLog; ///< Recent changes of the list of targets.
     TargetSet targets;
     Evacuations evacuations;
-    core::Time evacuationsHeardAt = absl::InfinitePast(); ///< When the directory last answered for them.
+    core::Time evacuationsHeardAt = absl::InfinitePast(); ///< When the directory last answered an evacuations request.
     DomainLinks links;
     RetryLedger retries;
     CrashLedger crashes;
     EjectionRule ejection;
     std::mt19937_64 random;
-    control::Roster roster; ///< Daemons that live.
-    control::SchedulerClient *scheduling = nullptr; ///< Null: this daemon decides alone.
-    control::CrashExchange *crashExchange = nullptr; ///< Null: nobody is told of `crashes`.
-    bool isolated = false; ///< No daemon answers this one's questions.
-    std::size_t daemons = 1; ///< Daemons that live, this one included.
-    /// Most daemons of this one's failure domain that it, or any of them that it heard, ever knew of at once.
+    control::Roster roster; ///< Live daemons.
+    control::SchedulerClient *scheduling = nullptr; ///< Null: this daemon places requests without a scheduler.
+    control::CrashExchange *crashExchange = nullptr; ///< Null: `crashes` is not shared with other daemons.
+    bool isolated = false; ///< Whether no daemon answers this one's questions.
+    std::size_t daemons = 1; ///< Live daemons, including this one; at least the number of seeds.
+    /// Largest number of daemons of this one's failure domain that this daemon, or one whose heartbeats it received,
+    /// ever knew at the same time.
     std::size_t largestDomain = 1;
     const core::Time startedAt;
     bool draining = false;
     core::Time drainingSince = absl::InfiniteFuture();
-    std::int64_t inProgress = 0; ///< Requests that were read and are not answered.
-    std::uint64_t reservations = 0; ///< Numbers the reservations of this life.
-    std::size_t directoryCallers = 1; ///< Daemons that call the directory as this one does.
+    std::int64_t inProgress = 0; ///< Requests that have been read and not yet answered.
+    std::uint64_t reservations = 0; ///< Counter for reservation ids, from the start of this process.
+    std::size_t directoryCallers = 1; ///< Estimated number of daemons that read the directory, including this one.
 
-    /// \brief What this daemon knows of its fleet: its part of the slack of repeated sends follows from it.
+    /// \brief What this daemon knows about its fleet. Its share of the fleet-wide retry budget is computed from this.
     [[nodiscard]] FleetKnowledge fleetKnowledge(core::Time now) const;
 
-    /// \brief Whether keys can be checked: the configuration was known to be the newest not long ago.
+    /// \brief Whether keys can be checked: the configuration was recently known to be the newest, or checks fail open.
     [[nodiscard]] bool keysAreFresh(core::Time now) const;
 
-    /// \brief Whether what a request was refused for want of may come within moments, so that it is worth waiting for.
-    /// \param lacking NotReady: the first configuration; StaleConfiguration: a newer proof; of others nothing comes.
+    /// \brief Whether the information whose absence caused the rejection of a request may arrive shortly, so that the
+    /// request is worth holding.
+    /// \param lacking Reason for the rejection. NotReady waits for the first configuration, StaleConfiguration for a
+    /// newer confirmation; the result is false for all others.
     [[nodiscard]] bool knowledgeMayComeSoon(core::Reason lacking, core::Time now) const;
 
-    /// \brief Whether a newer proof may come within moments: nothing is known against it, only this process did not
-    /// run.
+    /// \brief Whether a newer confirmation of the configuration may arrive shortly: this daemon isn't isolated, and the
+    /// last one is old only because this process didn't run.
     [[nodiscard]] bool proofMayComeSoon(core::Time now) const;
 
-    /// \brief When the directory last answered this daemon for all that it is asked for: waits for targets are longer
-    /// than those for the configuration.
+    /// \brief When the directory last answered for everything that this daemon reads from it. Allows for the longer
+    /// waits for targets and evacuations.
     [[nodiscard]] core::Time directoryHeardAt() const;
 
-    /// \brief Takes a configuration that is newer than the one in force.
-    /// \param from Where it came from, for logs.
+    /// \brief Activates a configuration; ignores it unless it is newer than the current one.
+    /// \param from Source of the configuration, for logs.
     void adopt(config::RouteTableRef newer, std::string source, std::string_view from, core::Time now);
 };
 
--- a/include/spurlug/relay/control_plane.h
+++ b/include/spurlug/relay/control_plane.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one daemon's part in the control plane
+// spurlug: control plane of a relay daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -27,31 +27,34 @@
 namespace spurlug::relay
 {
 
-/// \brief Joins what a daemon does for the others and what it asks of them: heartbeats, the scheduler and its clients,
-/// reading the directory or following those that do. Decides nothing: each of these has its own module.
+/// \brief Connects the control-plane components of a daemon: heartbeats, the scheduler and its client, crash gossip,
+/// and reading the directory or asking the daemons that read it. Makes no decisions; each component is a module of its
+/// own.
 template<Directory Source>
 class ControlPlane
 {
 public:
-    /// \throws NetworkError when the address for datagrams cannot be bound.
+    /// \throws NetworkError if the address for datagrams cannot be bound.
     ControlPlane(RelayContext &context, Source &source);
     ControlPlane(const ControlPlane &) = delete;
     ControlPlane &operator=(const ControlPlane &) = delete;
 
-    /// \brief Begins; the loop does the rest.
+    /// \brief Starts the coroutines on the loop.
     void start();
-    /// \brief Tells all peers that this daemon begins to stop.
+    /// \brief Notifies all peers that this daemon begins to stop.
     void announceStop(core::Time now);
 
 private:
     struct Wake
     { };
 
-    static constexpr auto WaitingPause = absl::Milliseconds(10); ///< Between looks at asks that wait.
+    /// Delay before waiting placement requests are checked again.
+    static constexpr auto WaitingPause = absl::Milliseconds(10);
     static constexpr auto IdlePause = absl::Milliseconds(200);
-    static constexpr auto SourceLook = absl::Milliseconds(100); ///< Between looks whether a question is due.
+    static constexpr auto SourceLook = absl::Milliseconds(100); ///< Between checks whether a question is due.
     static constexpr auto RoleLook = absl::Milliseconds(500);
-    /// A large configuration is some 400 KB, a small VM's link 2.5 MB/s, and thirty daemons may ask the same reader.
+    /// A large configuration takes some 400 KB, a small VM's network link carries 2.5 MB/s, and thirty daemons may
+    /// fetch from the same reader.
     static constexpr auto FetchTimeout = absl::Milliseconds(2000);
 
     void spawn(net::Task<> task);
@@ -60,17 +63,17 @@
     void noteIsolation(bool isolated);
     void sendGrants(core::Time now);
     [[nodiscard]] net::Task<> serveAsks();
-    /// Has the asks that wait looked at soon.
+    /// Schedules a check of the waiting placement requests.
     void wake();
     [[nodiscard]] net::Task<> followSources();
-    /// Whom to ask for what a source has and this daemon lacks. The whole list of targets and a first configuration are
-    /// asked of any daemon of this failure domain first: after a start of all each of them wants both, and the link of
-    /// one small VM would take many seconds for it.
+    /// Daemons to fetch from, in order, when `source` has data that this daemon lacks. Without a list of targets this
+    /// starts with a random daemon of this failure domain: after a start of the whole fleet each daemon needs the full
+    /// list and the configuration, and the network link of one small VM would take many seconds to serve them all.
     [[nodiscard]] std::vector<core::Address> holders(const control::Member &source);
-    /// Fetches what is missing here from one of the daemons, the first that has it.
+    /// Fetches the missing data from the first of the daemons that has it.
     [[nodiscard]] net::Task<> fetch(std::vector<core::Address> peers);
-    /// Asks a daemon for what is newer than what is known here.
-    /// \returns Whether it had something.
+    /// Fetches newer configuration and targets from a daemon.
+    /// \returns Whether it had anything newer.
     [[nodiscard]] net::Task<bool> fetchFrom(core::Address peer);
     [[nodiscard]] net::Task<> noteRoles();
 
@@ -83,9 +86,9 @@
     control::SourceChoice m_sources;
     Follower<Source> m_follower;
     net::Mailbox<Wake> m_asksWait;
-    bool m_wakePosted = false; ///< Whether `m_asksWait` holds a message that was not handled yet.
-    std::map<std::string, core::Address> m_askers; ///< Where the answers of waiting asks go, by daemon.
-    core::Time m_fetchingUntil = absl::InfinitePast(); ///< A peer is being asked for what is missing here.
+    bool m_wakePosted = false; ///< Whether a message in `m_asksWait` is still to be handled.
+    std::map<std::string, core::Address> m_askers; ///< Reply address for waiting placement requests, by VM.
+    core::Time m_fetchingUntil = absl::InfinitePast(); ///< Until then a fetch from a peer is in progress.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/control_plane_impl.h
+++ b/include/spurlug/relay/control_plane_impl.h
@@ -1,10 +1,10 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one daemon's part in the control plane: implementation
+// spurlug: control plane of a relay daemon: implementation
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
 
-#include "spurlug/relay/control_plane.h" // For tools that read this file alone.
+#include "spurlug/relay/control_plane.h" // For tools that parse this file on its own.
 
 namespace spurlug::relay
 {
@@ -61,7 +61,7 @@
 template<Directory Source>
 void ControlPlane<Source>::announceStop(core::Time now)
 {
-    m_peers.announce(now); // Roles move to others at once.
+    m_peers.announce(now); // Other daemons take over its roles at once.
 }
 
 template<Directory Source>
@@ -110,8 +110,8 @@
     for (;;) {
         const auto woken = co_await m_asksWait.take(core::now() + IdlePause);
         if (woken) {
-            // Whatever comes meanwhile is looked at together: the looks are bounded, however many asks and reports
-            // come.
+            // Requests and reports that arrive during the pause are handled in one check, which bounds the number of
+            // checks however many arrive.
             co_await net::sleepFor(WaitingPause);
         }
         const auto now = core::now();
@@ -185,7 +185,7 @@
     }
     noteIsolation(m_sources.isolated());
     m_context.proofTriedAt = now;
-    // The other daemon's ages count from the moment of the question: the answer may have been long on its way.
+    // Ages in the answer are subtracted from the time of the question: the answer may have been delayed in transit.
     if (proof.version > 0 && proof.proofAge != absl::InfiniteDuration()) {
         m_context.configurationProof.confirm(proof.version, *askedAt - proof.proofAge);
     }
@@ -208,7 +208,7 @@
 {
     std::vector<core::Address> peers{source.control};
     if (m_context.targetsPosition.known()) {
-        return peers; // A few changes.
+        return peers; // Only a few changes are missing.
     }
     auto near = m_context.roster.holdersIn(m_context.settings.failureDomain, control::Role::Reader, m_context.daemons);
     std::erase_if(near,
@@ -229,7 +229,7 @@
             break;
         }
     }
-    m_fetchingUntil = absl::InfinitePast(); // The next answer to a question says what is still missing.
+    m_fetchingUntil = absl::InfinitePast(); // The next proof answer shows whether anything is still missing.
 }
 
 template<Directory Source>
--- a/include/spurlug/relay/directory.h
+++ b/include/spurlug/relay/directory.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: where the relay learns its configuration and its targets
+// spurlug: interface to the directory of configuration, targets and evacuations
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -19,67 +19,67 @@
 namespace spurlug::relay
 {
 
-/// \brief How a call to the directory ended.
+/// \brief Result of a call to the directory.
 enum class DirectoryStatus
 {
     Ok,
-    Missing, ///< There is no such document.
-    HistoryGone, ///< Changes since that revision are not known any more: read everything.
-    Busy, ///< The directory refused the call for now.
+    Missing, ///< The document doesn't exist.
+    HistoryGone, ///< Changes since that revision are no longer available: read the full list.
+    Busy, ///< The directory temporarily refused the call.
     Unreachable, ///< No answer.
-    Malformed, ///< The answer could not be understood.
+    Malformed, ///< The answer could not be parsed.
 };
 
-/// \brief A configuration as it was read.
+/// \brief Answer to a read of, or a wait for, the configuration.
 struct ConfigurationAnswer
 {
     DirectoryStatus status = DirectoryStatus::Unreachable;
-    std::string detail; ///< What went wrong, for logs.
-    DirectoryPosition position; ///< Where to go on waiting.
-    config::RouteTableRef table; ///< Null when nothing changed.
-    std::string document; ///< The table's source, as peers pass it on.
+    std::string detail; ///< Cause of a failure, for logs.
+    DirectoryPosition position; ///< Start of the next wait.
+    config::RouteTableRef table; ///< Null if nothing changed.
+    std::string document; ///< Source text of the table, as peers forward it.
 };
 
-/// \brief One change of the list of targets.
+/// \brief A change of the list of targets.
 struct TargetChange
 {
-    TargetEntry entry; ///< Of one that is gone or cannot be used only its life, as far as it is told.
+    TargetEntry entry; ///< If gone or unusable, only its id and start time, as far as known.
     bool gone = false;
-    std::string fault{}; ///< What is wrong with the entry: it names no target to use. Empty: nothing.
+    std::string fault{}; ///< Why the entry is unusable; empty if it is valid.
 };
 
-/// \brief All targets, or what changed.
+/// \brief All targets, or the changes.
 struct TargetsAnswer
 {
     DirectoryStatus status = DirectoryStatus::Unreachable;
-    std::string detail; ///< What went wrong, for logs.
-    DirectoryPosition position; ///< Where to go on waiting.
+    std::string detail; ///< Cause of a failure, for logs.
+    DirectoryPosition position; ///< Start of the next wait.
     std::vector<TargetChange> changes;
 };
 
-/// \brief One change of the evacuated failure domains.
+/// \brief A change of the set of evacuated failure domains.
 struct EvacuationChange
 {
     std::string failureDomain;
-    bool gone = false; ///< Whether it was taken back.
+    bool gone = false; ///< Whether the evacuation was cancelled.
 };
 
-/// \brief All evacuated failure domains, or what changed.
+/// \brief All evacuated failure domains, or the changes.
 struct EvacuationsAnswer
 {
     DirectoryStatus status = DirectoryStatus::Unreachable;
-    std::string detail; ///< What went wrong, for logs.
-    DirectoryPosition position; ///< Where to go on waiting.
+    std::string detail; ///< Cause of a failure, for logs.
+    DirectoryPosition position; ///< Start of the next wait.
     std::vector<EvacuationChange> changes;
 };
 
-/// \brief A directory that can be read whole and waited on. Answers are the newest there is at some moment between
-/// question and answer. A wait that is answered in another era than that of its revision tells nothing of what lies
-/// between: its position says so.
+/// \brief A directory that can be read in full and watched for changes. An answer holds the newest state as of some
+/// time between the request and the answer. A wait that is answered in another era than that of its revision doesn't
+/// contain the changes in between; its position shows the new era.
 template<typename D>
 concept Directory = requires(D &directory, std::int64_t revision, core::Duration wait, const std::string &document)
 {
-    // Reads a configuration that a peer passed on. Throws core::InvalidDocument.
+    // Parses a configuration that a peer forwarded. Throws core::InvalidDocument.
     {
         directory.readDocument(document)
         } -> std::same_as<config::RouteTableRef>;
--- a/include/spurlug/relay/directory_position.h
+++ b/include/spurlug/relay/directory_position.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a moment in the history of a directory that may lose a part of it
+// spurlug: position in the history of the directory
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -10,13 +10,13 @@
 namespace spurlug::relay
 {
 
-/// \brief What a list or a change is as of. Revisions rise within an era; a directory that comes back from an older
-/// copy of itself begins a new era, in which revisions are given out again. A later era is newer, whatever its
-/// revisions.
+/// \brief Position in the directory's history that a list or a change belongs to. Revisions increase within an era; a
+/// directory that is restored from an older copy of itself starts a new era, in which revision numbers are reused. A
+/// later era is newer, whatever its revisions.
 struct DirectoryPosition
 {
     std::int64_t era = 0;
-    std::int64_t revision = 0; ///< 0: nothing was read yet.
+    std::int64_t revision = 0; ///< 0: nothing has been read yet.
 
     [[nodiscard]] bool known() const noexcept
     {
--- a/include/spurlug/relay/fleet_membership.h
+++ b/include/spurlug/relay/fleet_membership.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which daemons live: heartbeats of one daemon
+// spurlug: fleet membership of one daemon by heartbeats
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -21,15 +21,16 @@
 namespace spurlug::relay
 {
 
-/// \brief Keeps the roster of daemons that live.
+/// \brief Maintains the roster of live daemons.
 ///
-/// The first few daemons of a failure domain (`control::Registrars`) keep its list. Every daemon sends its heartbeats
-/// to those of its own domain, and they to some of every other domain; each is answered by a heartbeat that says how
-/// many daemons live in which domain, and who holds roles or would be next. So what a daemon sends and hears does not
-/// grow with the fleet; what a registrar hears grows with its failure domain. A list is told on with its age and
-/// lapses, so that no two daemons keep a dead one alive by telling each other of it.
+/// The first few daemons of a failure domain (`control::Registrars`) are its registrars and maintain its member list.
+/// Every daemon sends its heartbeats to the registrars of its own domain, and registrars send theirs to some of every
+/// other domain. Each heartbeat is answered by one that contains the number of live daemons in each domain, and the
+/// holders of roles with the next candidates. So the traffic of an ordinary daemon doesn't grow with the fleet; that of
+/// a registrar grows with its failure domain. Lists are forwarded with their age and expire, so that two daemons can't
+/// keep a dead one alive by reporting it to each other.
 ///
-/// A daemon that knows nobody asks the seeds. Knows no socket and no clock.
+/// A daemon that knows no others asks the seeds. This class uses no socket and no clock.
 class FleetMembership
 {
 public:
@@ -39,33 +40,34 @@
     FleetMembership(const FleetMembership &) = delete;
     FleetMembership &operator=(const FleetMembership &) = delete;
 
-    /// \brief Sets who is told of peers that were not heard before, or that started again.
+    /// \brief Sets the callback for peers that are new or have restarted.
     void onNewPeer(std::function<void(const core::Address &)> tell);
 
     /// \name Commands
     /// @{
 
-    /// \brief Sends one round of heartbeats, and forgets who is silent.
+    /// \brief Sends one round of heartbeats and removes peers that timed out.
     void sendRound(core::Time now);
-    /// \brief Tells all members at once what this daemon does: it begins to stop.
+    /// \brief Sends this daemon's state to all members at once, as when it begins to stop.
     void announce(core::Time now);
+    /// \brief Handles a received heartbeat; answers it if the sender asks for that.
     void take(const membership::Heartbeat &heartbeat, core::Time now);
 
     /// @}
     /// \name Queries
     /// @{
 
-    /// \brief Until the next round.
+    /// \brief Time until the next round.
     [[nodiscard]] core::Duration interval(core::Time now) const;
     /// @}
 
 private:
-    /// What was told of a failure domain.
+    /// Reported state of a failure domain.
     struct Told
     {
         std::vector<control::Member> members;
         std::size_t daemons = 0;
-        core::Time saidAt = absl::InfinitePast(); ///< By one that keeps the list.
+        core::Time saidAt = absl::InfinitePast(); ///< When one of its registrars reported it.
     };
 
     [[nodiscard]] core::Duration settledInterval(core::Time now) const;
@@ -74,15 +76,15 @@
     void answer(const core::Address &to, std::uint32_t theirDigest, core::Time now);
     void forgetSilent(core::Time now);
     void notePause(core::Time now);
-    /// \returns Whether it names other members, or another number.
+    /// \returns Whether it lists members or changes the number of daemons.
     bool noteRoster(const membership::DomainRoster &told, core::Time now);
     void refresh(core::Time now);
-    /// Whether this daemon hears all of its failure domain by now.
+    /// Whether this daemon receives the heartbeats of its whole failure domain by now.
     [[nodiscard]] bool keepsList(core::Time now) const;
     [[nodiscard]] bool hearsAll(const std::string &domain, core::Time now) const;
-    /// Those of a domain that hold roles or would be next.
+    /// Members of a domain that hold roles, and the next candidates.
     [[nodiscard]] std::vector<control::Member> holdersIn(const std::string &domain, core::Time now) const;
-    /// Members that this daemon hears, and those that it was told of.
+    /// Members whose heartbeats this daemon receives, and those reported by others.
     [[nodiscard]] std::vector<control::Member> withTold(const std::vector<control::Member> &heard) const;
     [[nodiscard]] std::size_t daemonsIn(const std::string &domain, core::Time now) const;
     [[nodiscard]] const std::vector<membership::DomainRoster> &rosters(core::Time now);
@@ -94,25 +96,26 @@
     RelayContext &m_context;
     Send m_send;
     std::function<void(const core::Address &)> m_tellNewPeer = [](const core::Address &) {};
-    membership::PeerTable m_peers; ///< Those that this daemon hears itself.
-    std::set<std::string> m_alive; ///< Of them, those that were heard of late.
-    /// This daemon and those of `m_alive`. What it tells as the list that it keeps is of these only: told on, a dead
-    /// one would live as long as two daemons name it to each other.
+    membership::PeerTable m_peers; ///< Daemons whose heartbeats this daemon receives itself.
+    std::set<std::string> m_alive; ///< VMs of those in `m_peers` that were heard from recently.
+    /// This daemon and those of `m_alive`. As a registrar it reports these only: if reports were forwarded as its own,
+    /// a dead daemon would count as live for as long as two daemons report it to each other.
     control::Roster m_heard;
     std::map<std::string, Told> m_told; ///< By failure domain.
-    std::map<std::string, std::set<std::string>> m_lastRegistrars; ///< Addresses by domain, also of a lost one.
-    std::vector<membership::DomainRoster> m_rosters; ///< As they are told on; made anew after a while.
+    /// Addresses by failure domain, including unreachable domains.
+    std::map<std::string, std::set<std::string>> m_lastRegistrars;
+    std::vector<membership::DomainRoster> m_rosters; ///< As sent to others; rebuilt after a while.
     std::uint32_t m_rostersDigest = 0; ///< Of `m_rosters`.
     core::Time m_rostersAt = absl::InfinitePast();
-    core::Time m_refreshedAt = absl::InfinitePast(); ///< The roster.
+    core::Time m_refreshedAt = absl::InfinitePast(); ///< When the roster was last rebuilt.
     core::Time m_registrarSince = absl::InfiniteFuture();
-    core::Time m_answeredAt = absl::InfinitePast(); ///< When a registrar of this domain was heard last.
-    bool m_knowsNobody = true; ///< No answer came since it started.
+    core::Time m_answeredAt = absl::InfinitePast(); ///< When a registrar of this domain last answered.
+    bool m_knowsNobody = true; ///< Whether no answer has come since the start.
     core::Time m_lastRound = absl::InfinitePast();
     const std::uint64_t m_incarnation;
     std::uint64_t m_sequence = 0;
-    core::Duration m_settledInterval; ///< Between rounds of a daemon that is not young.
-    std::size_t m_seed = 0; ///< Which one is asked next.
+    core::Duration m_settledInterval; ///< Between rounds after the startup period.
+    std::size_t m_seed = 0; ///< Index of the next seed to ask, modulo their number.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/follower.h
+++ b/include/spurlug/relay/follower.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: follows the directory's configuration and list of targets
+// spurlug: reads configuration, targets and evacuations from the directory and watches them for changes
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -17,38 +17,38 @@
 namespace spurlug::relay
 {
 
-/// How long after the directory is back what it lost, or let lapse, may still be written again.
+/// Time after the directory has recovered during which entries that it lost or let expire may still be written again.
 inline constexpr auto LapseTime = absl::Seconds(2);
 
-/// \brief Whether calls to the directory get answers, and since when. Logs each change.
+/// \brief Tracks whether calls to the directory succeed, and since when. Logs each change.
 class DirectoryLink
 {
 public:
-    /// \param what What is read over it, for logs.
+    /// \param what Name of the data that is read, for logs.
     DirectoryLink(RelayContext &context, std::string what);
 
-    /// \brief Notes how a call ended.
-    /// \returns Wait before the next call.
+    /// \brief Records the result of a call.
+    /// \returns Time to wait before the next call.
     [[nodiscard]] core::Duration ended(DirectoryStatus status, const std::string &detail, core::Time now);
 
-    /// \brief Notes the era that an answer named.
-    /// \returns Whether the directory lost a part of its history since the last answer. It is as if it was regained
-    /// then.
+    /// \brief Records the era given in an answer.
+    /// \returns Whether the directory has lost a part of its history since the last answer. This counts as a recovery
+    /// of the directory at `now`.
     bool noteEra(std::int64_t era, core::Time now);
 
-    /// \brief Notes that the directory was regained elsewhere, as another daemon tells.
+    /// \brief Records that the directory recovered at `at`, as reported by another daemon.
     void noteRegained(core::Time at) noexcept
     {
         m_regainedAt = std::max(m_regainedAt, at);
     }
 
-    /// \brief Whether the last call got no answer.
+    /// \brief Whether the last call failed, other than with `HistoryGone`.
     [[nodiscard]] bool lost() const noexcept
     {
         return m_status != DirectoryStatus::Ok;
     }
 
-    /// \brief When the directory was last regained; in the infinite past when it was never lost.
+    /// \brief When the directory last recovered; in the infinite past if it never failed.
     [[nodiscard]] core::Time regainedAt() const noexcept
     {
         return m_regainedAt;
@@ -58,30 +58,32 @@
     RelayContext &m_context;
     const std::string m_what;
     Backoff m_backoff;
-    DirectoryStatus m_status = DirectoryStatus::Ok; ///< How the last call ended.
-    std::int64_t m_era = 0; ///< 0: none was named yet.
+    DirectoryStatus m_status = DirectoryStatus::Ok; ///< Result of the last call; Ok also after `HistoryGone`.
+    std::int64_t m_era = 0; ///< 0: no era received yet.
     core::Time m_lostAt = absl::InfinitePast();
     core::Time m_regainedAt = absl::InfinitePast();
 };
 
-/// \brief Takes in what the directory says of targets.
+/// \brief Applies target lists and changes from the directory or a peer to the known targets.
 ///
-/// Entries that lapsed while the directory was away come back when their targets reach it again. So what is missing
-/// just after such a time is kept a little longer, unless the target had said that it was leaving.
+/// Entries that expired while the directory was unavailable are written again when their targets reach it. A target
+/// that is missing shortly after an outage is therefore kept a little longer, unless it had announced that it leaves.
 ///
-/// Each entry is judged alone. One that cannot be read, as from a program that does not know their form, names no
-/// target; one that was known by its id gets nothing until its next good entry. Entries of an earlier life than the
-/// known one change nothing, whoever tells them.
+/// Each entry is checked on its own. An entry that cannot be read, for example one written by a program that does not
+/// know the format, adds no target; a target that is already known by that id gets no requests until its next valid
+/// entry. Entries of an earlier incarnation than the known one are ignored, whatever their source.
 class TargetIntake
 {
 public:
     TargetIntake(RelayContext &context, const DirectoryLink &link);
 
-    /// \brief Takes the whole list as of a position: what is not in it is gone. An older list than the known one is
-    /// dropped: it would bring back targets that have left.
+    /// \brief Applies a full list as of a position: targets that are not in it are removed. A list that is older than
+    /// the known one is ignored because it would bring back targets that have left.
+    /// \param from Source of the list, for logs.
     void whole(const std::vector<TargetChange> &list, const DirectoryPosition &position, std::string_view from,
                core::Time now);
-    /// \brief Takes the changes up to a position, unless more is known, or less than what they begin from.
+    /// \brief Applies the changes up to a position. They are ignored if the known position is newer or belongs to
+    /// another era.
     void changes(const std::vector<TargetChange> &changes, const DirectoryPosition &position, std::string_view from,
                  core::Time now);
 
@@ -89,25 +91,27 @@
     [[nodiscard]] bool isNews(const DirectoryPosition &position, std::string_view from);
     void take(const TargetChange &change, std::string_view from, core::Time now);
     void put(const TargetEntry &entry, std::string_view from, core::Time now);
-    /// Doubts a target that a copy of the directory brings back; a list read again says nothing more of it.
+    /// Holds back requests from a target that a restored copy of the directory lists again after it was gone. A change
+    /// that is not part of a full list lifts this; reading the list again doesn't.
     void judgeCopy(Target &target, bool wasGone, core::Time now) const;
-    /// Ends the earlier one of two lives that are listed with one address, where it can be told.
+    /// Ends the earlier of two incarnations that are listed with the same address, if it is known which one is earlier.
     void judgeLivesAt(const core::Ref<Target> &added, EntryNews news);
     void withdraw(const std::string &id, const std::string &fault, std::string_view from);
     void drop(const TargetLife &life, std::string_view from, core::Time now);
 
     RelayContext &m_context;
     const DirectoryLink &m_link;
-    /// While a whole list is read, the ids that were not known before it: such a list has no order, so of two of them
-    /// at one address it does not tell which is later.
+    /// Ids that were added or restarted by the full list that is being applied. A full list has no order, so it doesn't
+    /// show which of two such targets at one address is the later one.
     std::set<std::string> m_newInList;
     bool m_inOneList = false;
-    bool m_inNewEra = false; ///< While the first list of an era of the directory is read.
-    std::map<std::string, core::Ref<Target>> m_lifeAt; ///< The newest life at each address, of services that there are.
-    std::map<std::string, std::string> m_faults; ///< Of entries that cannot be used, by id: each is logged once.
+    bool m_inNewEra = false; ///< While the first list of a new era of the directory is applied.
+    /// Newest incarnation at each address, for configured services only.
+    std::map<std::string, core::Ref<Target>> m_lifeAt;
+    std::map<std::string, std::string> m_faults; ///< Of unusable entries, by id; each is logged once.
 };
 
-/// \brief Runs the two loops that read a directory and wait on it, while this daemon should read it itself.
+/// \brief Runs the loops that read the directory and wait for its changes, while this daemon is to read it itself.
 template<Directory D>
 class Follower
 {
@@ -122,11 +126,11 @@
         , m_intake(context, m_targetsLink)
     { }
 
-    /// \brief Keeps the configuration and the proof that it is the newest.
+    /// \brief Keeps the configuration up to date and confirms that it is the newest one.
     [[nodiscard]] net::Task<> followConfiguration();
-    /// \brief Keeps the list of targets.
+    /// \brief Keeps the list of targets up to date.
     [[nodiscard]] net::Task<> followTargets();
-    /// \brief Keeps the evacuated failure domains.
+    /// \brief Keeps the set of evacuated failure domains up to date.
     [[nodiscard]] net::Task<> followEvacuations();
 
     [[nodiscard]] TargetIntake &intake() noexcept
@@ -140,23 +144,27 @@
     }
 
 private:
-    /// Each answered wait proves the configuration anew from the moment it was asked for, so a proof gets two waits
-    /// old. One call a wait.
+    /// Each answered wait confirms the configuration as of the time when the wait was requested, so a confirmation
+    /// reaches an age of two waits. There is one call per wait.
     static constexpr auto ConfigurationWait = absl::Milliseconds(1200);
-    /// The same where others follow: they add a third of a second to the age of a proof.
+    /// Wait while other daemons ask this one: they add a third of a second to the age of a
+    /// confirmation.
     static constexpr auto ConfigurationWaitForOthers = absl::Milliseconds(600);
-    static constexpr auto RolePause = absl::Milliseconds(50); ///< Between looks whether to read.
+    /// Between checks whether this daemon is to read the directory.
+    static constexpr auto RolePause = absl::Milliseconds(50);
     static constexpr auto TargetsWait = absl::Milliseconds(4000);
     static constexpr auto ShortestWait = absl::Milliseconds(1);
-    /// Changes that follow each other within `ChangesInARow`, as in a release, are read together after a pause; the
-    /// first ones are read at once.
+    /// Changes that follow each other within `ChangesInARow`, as in a release, are read as a batch after this pause;
+    /// the first ones are read at once.
     static constexpr auto TargetsPause = absl::Milliseconds(150);
     static constexpr auto ChangesInARow = absl::Milliseconds(600);
-    /// The targets are read while the directory answers for the configuration: one of the two finds it again.
+    /// Targets and evacuations are read only if the directory answered for the configuration within this time: one loop
+    /// is enough to find out that the directory is available again.
     static constexpr auto HeardOfLate = absl::Milliseconds(2500);
-    static constexpr auto StartPause = absl::Milliseconds(20); ///< Between looks for a first configuration.
+    static constexpr auto StartPause = absl::Milliseconds(20); ///< Between checks for the first configuration.
 
-    /// Whether an answer to a wait is of another era than the position that was waited from. What lies between is lost.
+    /// Whether an answer to a wait belongs to another era than the position that the wait started from. The changes
+    /// between the two are lost.
     template<typename Answer>
     [[nodiscard]] static bool isOtherEra(const Answer &answer, const DirectoryPosition &known)
     {
@@ -164,13 +172,15 @@
     }
 
     [[nodiscard]] core::Duration configurationWait() const;
-    /// Reads the targets of a new era at once: a wait that was begun before it may hear of nothing until it ends.
+    /// Reads the targets of a new era at once: a wait that was started in the old era may not be notified before it
+    /// ends.
     [[nodiscard]] net::Task<> listTargetsAnew();
-    /// \param restoredUntil When what the directory lost is written again at the latest; in the infinite future:
-    /// nothing is lost.
+    /// \param restoredUntil Latest time at which the evacuations that the directory lost are written again; in the
+    /// infinite future if nothing was lost.
     void takeEvacuationsOf(const Evacuations &told, core::Time restoredUntil, core::Time now);
     void noteCallers();
-    /// Whether this daemon should read the directory now, which answers for the configuration.
+    /// Whether this daemon is to read targets and evacuations now: it reads the directory itself, which answered for
+    /// the configuration recently.
     [[nodiscard]] bool readsNow(core::Time now) const;
 
     RelayContext &m_context;
@@ -209,7 +219,7 @@
             continue;
         }
         noteCallers();
-        ConfigurationAnswer answer; // Not `?:`, whose temporaries the compiler destroys twice around co_await (GCC 12).
+        ConfigurationAnswer answer; // No `?:`: GCC 12 destroys its temporaries twice around co_await.
         if (!known.known()) {
             answer = co_await m_directory.readConfiguration();
         } else {
@@ -231,7 +241,7 @@
             m_context.configurationHeardAt = now;
         }
         if (answer.status == DirectoryStatus::Missing) {
-            known = answer.position; // It is waited for from here.
+            known = answer.position; // The next wait starts here.
         } else if (answer.status == DirectoryStatus::Ok) {
             known = answer.position;
             const auto version
@@ -342,7 +352,8 @@
 template<Directory D>
 net::Task<> Follower<D>::followTargets()
 {
-    // Nobody is sent anywhere before there is a configuration, and one list then replaces the news of all that start.
+    // No request is routed before there is a configuration, and a single list then replaces the separate changes for
+    // all targets that start.
     while (!m_context.table) {
         co_await net::sleepFor(StartPause);
     }
@@ -360,8 +371,8 @@
         if (whole) {
             answer = co_await m_directory.listTargets();
         } else {
-            // After a failure an answer at once tells when the directory is back: what is missing then may still
-            // return.
+            // After a failure the wait is short, so that the answer shows when the directory recovered: targets that
+            // are missing then may still return.
             const auto span = m_targetsLink.lost() ? core::Duration(ShortestWait) : core::Duration(TargetsWait);
             answer = co_await m_directory.awaitTargets(known.revision, span);
         }
--- a/include/spurlug/relay/freshness.h
+++ b/include/spurlug/relay/freshness.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: how long ago the configuration was known to be the newest
+// spurlug: how long ago a configuration version was known to be the newest
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,16 +14,17 @@
 namespace spurlug::relay
 {
 
-/// \brief Proofs that versions were the newest at some moment. The moment is that in which the question was *sent*: the
-/// answer may have been delayed on its way, so that it says nothing about a later one.
+/// \brief Times at which configuration versions were confirmed as the newest. That is when the question was *sent*: the
+/// answer may have been delayed in transit, so it says nothing about a later time.
 ///
-/// A proof stays good when a newer version is heard of: that one was put in force after the proof's moment, so whatever
-/// it takes away may still be used as long after it as the proof allows. Otherwise a daemon would turn callers away
-/// from the moment at which it hears of a version until it has it, a second and more for a large one.
+/// A confirmation remains valid when a newer version becomes known: the newer one took effect after the time of the
+/// confirmation, so whatever it revokes may still be used for as long after that time as the confirmation allows.
+/// Otherwise a daemon would reject callers from the time when it learns of a version until it has received it, which
+/// takes a second and more for a large one.
 class Freshness
 {
 public:
-    /// \brief Notes that `version` was the newest after `askedAt`.
+    /// \brief Records that `version` was the newest at some time after `askedAt`.
     void confirm(std::int64_t version, core::Time askedAt)
     {
         auto &provenAt = m_proofs.try_emplace(version, askedAt).first->second;
@@ -33,13 +34,13 @@
         }
     }
 
-    /// \brief The newest version there is proof of; 0: none.
+    /// \brief The newest confirmed version; 0 if there is none.
     [[nodiscard]] std::int64_t version() const noexcept
     {
         return m_proofs.empty() ? 0 : m_proofs.rbegin()->first;
     }
 
-    /// \brief Age of the newest proof for `version`; infinite when there is none.
+    /// \brief Age of the newest confirmation of `version`; infinite if there is none.
     [[nodiscard]] core::Duration age(std::int64_t version, core::Time now) const noexcept
     {
         const auto found = m_proofs.find(version);
@@ -47,9 +48,9 @@
     }
 
 private:
-    static constexpr std::size_t MostVersions = 8; ///< A daemon is some versions behind at most.
+    static constexpr std::size_t MostVersions = 8; ///< A daemon is at most a few versions behind.
 
-    std::map<std::int64_t, core::Time> m_proofs; ///< When each version was known to be the newest.
+    std::map<std::int64_t, core::Time> m_proofs; ///< Latest `askedAt` for each version.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/peer_link.h
+++ b/include/spurlug/relay/peer_link.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: heartbeats between relaying daemons, and the socket of the control plane
+// spurlug: UDP transport for heartbeats and control-plane messages between relay daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,31 +16,31 @@
 namespace spurlug::relay
 {
 
-/// \brief Carries datagrams between daemons: heartbeats and messages of the control plane.
+/// \brief Sends and receives datagrams between daemons: heartbeats and control-plane messages.
 class PeerLink
 {
 public:
-    /// \brief Takes a message of the control plane, with the address that it came from.
+    /// \brief Handles a control-plane message from an address.
     using TakeMessage = std::function<void(control::Message, const core::Address &)>;
 
-    /// \throws NetworkError when the address cannot be bound.
+    /// \throws NetworkError if the address cannot be bound.
     explicit PeerLink(RelayContext &context);
 
-    /// \brief Sets who takes messages of the control plane.
+    /// \brief Sets the handler for control-plane messages.
     void onMessage(TakeMessage take);
 
-    /// \brief Sets who is told of peers that were not heard before, or that started again.
+    /// \brief Sets the callback for peers that are new or have restarted.
     void onNewPeer(std::function<void(const core::Address &)> tell);
 
-    /// \brief Sends heartbeats.
+    /// \brief Sends heartbeats periodically.
     [[nodiscard]] net::Task<> sendHeartbeats();
-    /// \brief Takes datagrams in.
+    /// \brief Receives and dispatches datagrams.
     [[nodiscard]] net::Task<> receive();
 
-    /// \brief Tells other daemons at once what this one does: it begins to stop.
+    /// \brief Sends this daemon's state to the other daemons at once, as when it begins to stop.
     void announce(core::Time now);
 
-    /// \brief Sends one datagram.
+    /// \brief Sends a datagram. It may be lost; errors are ignored.
     void sendTo(const core::Address &peer, const std::string &datagram);
 
 private:
--- a/include/spurlug/relay/peer_state.h
+++ b/include/spurlug/relay/peer_state.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what daemons tell each other while some of them cannot reach the directory
+// spurlug: configuration and targets that daemons fetch from each other, and how recent they are
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,26 +16,28 @@
 namespace spurlug::relay
 {
 
-/// \brief One daemon's knowledge of configuration and targets. Ages are as of the moment it was written.
+/// \brief A daemon's configuration and targets. Ages are as of the time when the state was made.
 struct PeerState
 {
-    std::int64_t version = 0; ///< Of the configuration; 0: none.
+    std::int64_t version = 0; ///< Version of the configuration; 0: none.
     core::Duration proofAge = absl::InfiniteDuration();
-    std::string document; ///< Source of the configuration; empty when the asker has that version.
+    std::string document; ///< Source text of the configuration; empty if the requester has that version.
     core::Duration targetsAge = absl::InfiniteDuration();
-    DirectoryPosition targetsPosition; ///< What the list is as of.
-    bool wholeList = true; ///< Whether `targets` are all; else what changed since the asker's position.
+    DirectoryPosition targetsPosition; ///< Directory position that `targets` lead up to.
+    /// Whether `targets` is the full list; otherwise the changes since the requester's position.
+    bool wholeList = true;
     std::vector<TargetChange> targets;
 };
 
-/// \brief What this daemon knows.
-/// \param askersVersion Version of the configuration that the asker has.
-/// \param askersPosition Of the list of targets that the asker has.
+/// \brief Returns this daemon's state for a requester.
+/// \param askersVersion Configuration version that the requester has.
+/// \param askersPosition Directory position of the requester's list of targets.
 [[nodiscard]] PeerState peerState(const RelayContext &context, std::int64_t askersVersion,
                                   const DirectoryPosition &askersPosition, core::Time now);
 
-/// \brief How new what this daemon knows is.
-/// \param regainedAt When the directory was regained last; in the infinite past: it was never lost.
+/// \brief Returns how recent this daemon's configuration and targets are.
+/// \param number Number of the question that this answers.
+/// \param regainedAt When the directory last recovered; in the infinite past if it never failed.
 [[nodiscard]] control::ProofAnswer proofAnswer(const RelayContext &context, std::uint64_t number, core::Time regainedAt,
                                                core::Time now);
 
--- a/src/membership/domain_table.cpp
+++ b/src/membership/domain_table.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what other failure domains tell
+// spurlug: summaries of other failure domains
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr auto RepeatFor = absl::Seconds(5); // After the last direct word.
+constexpr auto RepeatFor = absl::Seconds(5); // After the last summary that came directly from the domain.
 
 } // namespace
 
--- a/src/membership/fleet.cpp
+++ b/src/membership/fleet.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the shared view of the fleet: peers and who holds which role
+// spurlug: thread-safe view of the fleet: peers, failure domains and role holders
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/membership/heartbeat.cpp
+++ b/src/membership/heartbeat.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: heartbeats on the wire
+// spurlug: heartbeat messages and their encoding
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -21,7 +21,7 @@
 
 constexpr std::size_t SignatureBytes = 16;
 constexpr double RateUnit = 100;
-constexpr double ShareUnit = 100; // Of a core's share.
+constexpr double ShareUnit = 100; // Processor shares are sent in hundredths of a core.
 
 void writeLoad(const ObservedLoad &load, wire::TargetLoad &out)
 {
--- a/src/membership/heartbeat_service.cpp
+++ b/src/membership/heartbeat_service.cpp
@@ -19,7 +19,8 @@
 
 constexpr std::uint64_t IntroduceEvery = 10;
 constexpr std::uint64_t SummariesEvery = 8;
-constexpr int PauseIntervals = 3; // A round that comes this many intervals late means that the daemon stood still.
+constexpr int PauseIntervals
+    = 3; // A gap of more than this many intervals between rounds means that the daemon was paused.
 
 } // namespace
 
@@ -40,7 +41,7 @@
 HeartbeatService::~HeartbeatService()
 {
     m_sender.reset();
-    sendRound(); // Tells the peers the last state at once.
+    sendRound(); // Sends the final state to the peers at once.
     m_socket->shutDown();
     m_receiver.join();
 }
--- a/src/membership/peer_table.cpp
+++ b/src/membership/peer_table.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which daemons are alive
+// spurlug: table of peer daemons and their liveness
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -22,7 +22,7 @@
     return news.peerAddress.port != 0;
 }
 
-/// Heartbeats without an introduction keep the addresses that were learned before.
+/// Fills the fields that only an introduction contains, from the last known values.
 PeerNews withKnownAddresses(PeerNews news, const PeerNews &known)
 {
     if (!introduces(news)) {
--- a/src/membership/work_codec.cpp
+++ b/src/membership/work_codec.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a daemon's work at a target, and the rate that it takes, on the wire
+// spurlug: encoding of a daemon's work at a target and of rate limits
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr double RateUnit = 0.001; ///< Requests a second.
+constexpr double RateUnit = 0.001; ///< Requests per second in one unit of `per_1000_seconds`.
 
 } // namespace
 
--- a/src/relay/context.cpp
+++ b/src/relay/context.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what the coroutines of a relaying daemon share
+// spurlug: state shared by the coroutines of a relay daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,18 +17,19 @@
 namespace
 {
 
-/// Part of the time in which a key must stop working that a proof may be old; the rest covers a directory that answers
-/// from a moment ago, and the way of a request to its target.
+/// Maximum age of the configuration's last confirmation, as a share of the time within which a revoked key must stop
+/// working. The rest covers a directory whose answer is slightly out of date, and the transit of a request to its
+/// target.
 constexpr double OldestProofShare = 0.75;
 
-/// Proofs are asked for every 0.3 s, or by waits of 1.2 s at most. Where no attempt ended for longer, this process
-/// stood still; where one did, its outcome is the newest there is to know.
+/// Confirmations are requested every 0.3 s, or by waits of 1.2 s at most. If no attempt has ended for longer than this,
+/// the process was paused; if one has, its result is the latest information available.
 constexpr auto ProofTriesApart = absl::Milliseconds(1500);
-/// A daemon that starts has its first configuration 14 to 62 ms later when 295 start at once, 20 to 160 ms when 72 do;
-/// one that has none by then is cut off from the directory, for seconds mostly.
+/// A daemon receives its first configuration 14 to 62 ms after its start when 295 daemons start at once, and 20 to
+/// 160 ms when 72 do. One that has none by then can't reach the directory, in most cases for seconds.
 constexpr auto FirstReadSpan = absl::Milliseconds(200);
 
-/// A wait for targets is that much longer than one for the configuration.
+/// How much longer the waits for targets are than the shortest wait for the configuration.
 constexpr auto TargetsSlack = absl::Milliseconds(3400);
 
 RetryBound retryBound(const settings::RelayBounds &bounds)
@@ -88,7 +89,7 @@
 core::Time RelayContext::directoryHeardAt() const
 {
     if (!table) {
-        return configurationHeardAt; // Targets are not asked for before there is a configuration.
+        return configurationHeardAt; // Targets are not requested before there is a configuration.
     }
     const bool evacuates = settings.bounds.evacuate > absl::ZeroDuration();
     const auto waitsHeardAt = evacuates ? std::min(targetsHeardAt, evacuationsHeardAt) : targetsHeardAt;
--- a/src/relay/fleet_membership.cpp
+++ b/src/relay/fleet_membership.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which daemons live: heartbeats of one daemon
+// spurlug: fleet membership of one daemon by heartbeats
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -24,31 +24,35 @@
 using control::Registrars;
 using control::Role;
 
-/// Silence after which a peer counts as gone: three heartbeats at the longest interval, and one lost. A holder of a
-/// role that does not answer is left aside long before, by those that ask it.
+/// Time without a heartbeat after which a peer counts as gone: three heartbeats at the longest interval, and one lost.
+/// Daemons that ask the holder of a role stop using it much sooner if it doesn't answer.
 constexpr auto PeerTimeout = absl::Seconds(7);
 constexpr auto ShortestInterval = absl::Milliseconds(250);
 constexpr auto LongestInterval = absl::Seconds(2);
-/// What a registrar hears from, and tells, one member in a round.
+/// Bytes that a registrar receives from and sends to one member in a round.
 constexpr double BytesForMember = 300;
-constexpr double RegistrarBytesPerSecond = 12'000; // As long as the interval can grow.
-/// A daemon that just started sends more often until it knows the others; then it may hold roles.
+constexpr double RegistrarBytesPerSecond = 12'000; // Exceeded once the interval is at its maximum.
+/// A daemon sends heartbeats more often after its start until it knows the others; after this it may hold roles.
 constexpr auto YouthSpan = absl::Seconds(3);
 constexpr auto YouthInterval = absl::Milliseconds(300);
-/// Silence of all registrars of this domain after which others are looked for.
+/// Time without an answer from any registrar of this domain after which other daemons are contacted.
 constexpr auto RegistrarPatience = absl::Milliseconds(2500);
-constexpr std::size_t RegistrarsElsewhere = 2; // Of each other failure domain, that hear those of this one.
-/// Holders of each role whom a list names: those that hold it, and those that would be next.
+constexpr std::size_t RegistrarsElsewhere
+    = 2; // Per other failure domain, those that the registrars of this one send heartbeats to.
+/// Daemons listed for each role: the holders and the next candidates.
 constexpr std::size_t HoldersNamed = 3;
-constexpr auto RostersKept = absl::Milliseconds(100); // Lists change slowly, and some hundred daemons ask a second.
-/// News that come in one moment, as of all that start, are taken in together; the next round takes the last of them.
+constexpr auto RostersKept
+    = absl::Milliseconds(100); // Lists change slowly, and some hundred requests arrive per second.
+/// Changes that arrive shortly after each other, as when a whole fleet starts, are handled as a batch; the next round
+/// handles the last of them.
 constexpr auto RefreshPause = absl::Milliseconds(30);
-/// What a daemon says of itself is known to its failure domain by then: it told the registrars, and was told by them.
+/// Rounds after which a daemon's failure domain knows its state: one to inform the registrars, one for their answers.
 constexpr double HeardAfterRounds = 2;
-constexpr auto PauseNoticed = absl::Milliseconds(3000); // A gap between rounds that only a stopped process explains.
-/// Targets that a heartbeat names as leaving: those of a large release are drawn anew each time.
+constexpr auto PauseNoticed
+    = absl::Milliseconds(3000); // Between rounds; a longer gap means that the process was stopped.
+/// Leaving targets listed in a heartbeat: if a large release has more, each heartbeat has a new random selection.
 constexpr std::size_t MostLeavingTold = 48;
-constexpr std::size_t MostRatesTold = 32; ///< Targets of which a heartbeat names the rate.
+constexpr std::size_t MostRatesTold = 32; ///< Targets whose rate limits a heartbeat lists.
 
 Member memberOf(const membership::PeerNews &news)
 {
@@ -67,7 +71,7 @@
     return news;
 }
 
-/// Tells whether two daemons mean the same members, whatever order they know them in.
+/// Hash of a member. The sum over all members doesn't depend on their order, so two daemons can compare their lists.
 std::uint32_t digestOf(const std::string &vm, membership::DaemonState state)
 {
     return static_cast<std::uint32_t>(core::fastHash(vm, static_cast<std::uint64_t>(state) + 1));
@@ -113,7 +117,7 @@
 
 bool FleetMembership::keepsList(core::Time now) const
 {
-    // All members have sent it a heartbeat by then, and its own are answered.
+    // By then all members have sent it a heartbeat, and its own have been answered.
     return now - m_registrarSince > m_settledInterval * 2;
 }
 
@@ -207,7 +211,7 @@
 core::Address FleetMembership::nextSeed()
 {
     const auto &seeds = m_context.settings.seeds;
-    // Seeds are control addresses; the port for heartbeats is the same on all daemons.
+    // Seeds are control addresses; all daemons use the same port for heartbeats.
     return {seeds[m_seed++ % seeds.size()].host, m_context.settings.peerAddress.port};
 }
 
@@ -228,7 +232,7 @@
     }
     const auto last = m_lastRegistrars.find(domain);
     if (found.empty() && last != m_lastRegistrars.end()) {
-        to.insert(last->second.begin(), last->second.end()); // The domain is lost, or was cut off.
+        to.insert(last->second.begin(), last->second.end()); // The domain failed or is partitioned off.
     }
 }
 
@@ -251,7 +255,7 @@
     }
     const bool lacksDomains = m_context.roster.failureDomains().size() < settings.failureDomains.size();
     if (!settings.seeds.empty() && (seeks || (m_context.roster.isRegistrar() && lacksDomains))) {
-        const bool first = m_answeredAt == absl::InfinitePast() && m_alive.empty(); // Some may be down.
+        const bool first = m_answeredAt == absl::InfinitePast() && m_alive.empty(); // Some seeds may be down.
         for (std::size_t i = 0; i < (first ? settings.seeds.size() : 1); ++i) {
             to.insert(nextSeed().text());
         }
@@ -315,7 +319,8 @@
     known.saidAt = saidAt;
     known.daemons = told.daemons;
     if (!told.members.empty() || hearsAll(told.failureDomain, now)) {
-        known.members.clear(); // Of a domain that it hears itself, no names say that they are those that it hears.
+        known.members.clear(); // For the domain that this daemon tracks itself, an empty list means that the sender
+                               // knows the same members.
         std::transform(told.members.begin(), told.members.end(), std::back_inserter(known.members), memberOf);
     }
     return isNews;
@@ -349,12 +354,12 @@
     for (const auto &roster : heartbeat.rosters) {
         isNews = noteRoster(roster, now) || isNews;
     }
-    const bool stops = changed && news.state == membership::DaemonState::Leaving; // Its roles move at once.
+    const bool stops = changed && news.state == membership::DaemonState::Leaving; // Others take over its roles at once.
     if (stops || ((isNews || changed) && now - m_refreshedAt >= RefreshPause)) {
         refresh(now);
     }
     if (!heartbeat.wantsAnswer && std::exchange(m_knowsNobody, false)) {
-        sendRound(now); // Those that keep the list hear of this daemon at once.
+        sendRound(now); // Informs the registrars of this daemon at once.
     }
     if (heartbeat.wantsAnswer) {
         answer(address, heartbeat.rostersDigest, now);
@@ -371,7 +376,8 @@
         if (peer != nullptr && m_peers.alive(*peer, now)) {
             return false;
         }
-        if (m_context.roster.isRegistrar()) { // Others hear of daemons that pass by, and go on to their registrars.
+        if (m_context.roster
+                .isRegistrar()) { // Other daemons get heartbeats only until the senders know their registrars.
             core::log(core::LogLevel::Warning, "peer_silent", {{"vm", vm}});
         }
         return true;
@@ -385,7 +391,8 @@
 {
     m_refreshedAt = now;
     const auto &settings = m_context.settings;
-    // It ranks itself by what the others have heard: of all that begin to serve, none comes first in its own eyes.
+    // It ranks itself by the state that the others know already. Otherwise each of several daemons that begin to serve
+    // would rank itself first.
     const auto heardState = state(now - m_settledInterval * HeardAfterRounds);
     std::vector<Member> heard{{settings.vm, settings.failureDomain, settings.processorShare, heardState,
                                settings.peerAddress, settings.controlAddress}};
--- a/src/relay/follower.cpp
+++ b/src/relay/follower.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: follows the directory's configuration and list of targets
+// spurlug: reads configuration, targets and evacuations from the directory and watches them for changes
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -20,18 +20,19 @@
 
 constexpr auto FirstWait = absl::Milliseconds(50);
 constexpr auto LongestWait = absl::Milliseconds(500);
-/// Between calls of one daemon, for each that has lost the directory as it has: all together make some hundred calls a
-/// second.
+/// Longest wait of a daemon between failed calls, per daemon that reads the directory: together they make some hundred
+/// calls a second.
 constexpr auto WaitForEach = absl::Milliseconds(10);
-/// So many daemons need no spreading: readers, and fleets as small.
+/// Up to this many daemons need no longer waits: the readers of a fleet, or a small fleet.
 constexpr std::size_t FewCallers = 20;
 
-/// The directory drops the entry of a target that is gone after three of its heartbeats; one more for the way.
+/// The directory removes the entry of a target that is gone after three missed heartbeats; one more allows for transit.
 constexpr double HeartbeatsMissed = 4;
-/// Part of the time in which a leaving target must get nothing more that a missing one is still used.
+/// Share of the shorter of `LapseTime` and the drain bound for which a target missing from the directory is still used.
 constexpr double KeepShare = 0.8;
 
-/// \param draw A random number from 0 to 1.
+/// Wait that spreads the calls of many daemons over time.
+/// \param draw Random number from 0 to 1.
 core::Duration spread(std::size_t callers, double draw)
 {
     if (callers <= FewCallers) {
@@ -108,7 +109,7 @@
 {
     const auto known = m_context.targets.find(entry.id);
     if (known && known->entry.startMs > 0 && entry.startMs == 0) {
-        withdraw(entry.id, "the start is missing, which an earlier entry told", from);
+        withdraw(entry.id, "the entry has no start time, although an earlier entry had one", from);
         return;
     }
     const bool wasUnusable = known && (known->dropAt != absl::InfiniteFuture() || !known->fault.empty());
@@ -147,14 +148,14 @@
     if (m_inNewEra && wasGone) {
         target.doubtedUntil = now + m_context.settings.bounds.targetHeartbeat * HeartbeatsMissed;
     } else if (!m_inOneList) {
-        target.doubtedUntil = absl::InfinitePast(); // It wrote its entry since the copy was made.
+        target.doubtedUntil = absl::InfinitePast(); // The target has written its entry since the copy was made.
     }
 }
 
 void TargetIntake::judgeLivesAt(const core::Ref<Target> &added, EntryNews news)
 {
     if (!m_context.table || m_context.table->service(added->entry.service) == nullptr) {
-        return; // Other programs may write any address.
+        return; // Entries of unconfigured services come from other programs and may contain any address.
     }
     auto &newest = m_lifeAt[added->entry.address.text()];
     if (!newest) {
@@ -165,10 +166,10 @@
     }
     const bool startsAreTold = newest->entry.startMs > 0 && added->entry.startMs > 0;
     if (!startsAreTold && (m_inNewEra || m_newInList.contains(newest->entry.id))) {
-        return; // Which of the two is later is not known: a copy may list what has ended.
+        return; // It is unknown which one is later: a restored copy may list a target that has ended.
     }
     auto later = startsAreTold && newest->entry.startMs > added->entry.startMs ? newest : added;
-    endLife(m_context, later == added ? *newest : *added, "another life is listed at its address");
+    endLife(m_context, later == added ? *newest : *added, "another incarnation is listed at its address");
     newest = std::move(later);
 }
 
@@ -192,7 +193,7 @@
         return;
     }
     if (life.startMs > 0 && life.startMs < known->entry.startMs) {
-        return; // An earlier life ended.
+        return; // The end of an earlier incarnation.
     }
     const bool isBack = m_inNewEra || now - m_link.regainedAt() < LapseTime;
     const bool mayComeBack = isBack && !known->leaving();
--- a/src/relay/peer_link.cpp
+++ b/src/relay/peer_link.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: heartbeats between relaying daemons, and the socket of the control plane
+// spurlug: UDP transport for heartbeats and control-plane messages between relay daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -81,7 +81,7 @@
 
 void PeerLink::sendTo(const core::Address &peer, const std::string &datagram)
 {
-    error_code error; // A datagram may be lost anyway: the next one makes up for it.
+    error_code error; // Ignored: any datagram may be lost, and the next one replaces it.
     const udp::endpoint endpoint(net::asio::ip::make_address(peer.host, error), peer.port);
     if (!error) {
         m_socket.send_to(net::asio::buffer(datagram), endpoint, 0, error);
@@ -97,7 +97,7 @@
         if (error == net::asio::error::operation_aborted) {
             co_return;
         }
-        if (!error) { // Else an earlier datagram met a closed port: its receiver is away.
+        if (!error) { // An error reports that an earlier datagram reached a closed port.
             take(buffer.substr(0, bytes), addressOf(sender), core::now());
         }
     }
--- a/src/relay/peer_state.cpp
+++ b/src/relay/peer_state.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what daemons tell each other while some of them cannot reach the directory
+// spurlug: configuration and targets that daemons fetch from each other, and how recent they are
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr std::int64_t Unknown = -1; // Stands for an infinite age.
+constexpr std::int64_t Unknown = -1; // Encodes an infinite age, ms.
 
 std::int64_t ageMs(core::Duration age)
 {
@@ -29,7 +29,7 @@
     return ms < 0 ? absl::InfiniteDuration() : core::fromMs(ms);
 }
 
-/// Gives each name that entries share a number.
+/// Writes each distinct name once and assigns it a number, which entries use.
 class NameTable
 {
 public:
@@ -73,7 +73,7 @@
 const std::string &nameAt(const wire::PeerState &in, std::uint32_t number)
 {
     if (number >= static_cast<std::uint32_t>(in.names_size())) {
-        throw core::InvalidDocument("a peer's state: a name is missing");
+        throw core::InvalidDocument("peer state: name number out of range");
     }
     return in.names(static_cast<int>(number));
 }
@@ -135,11 +135,11 @@
         return state;
     }
     for (const auto &[id, target] : context.targets.all()) {
-        // A target that is only kept for a while is gone: told on, it would come back elsewhere.
+        // A target with `dropAt` set is gone from the directory: forwarding it would add it again elsewhere.
         if (target->dropAt == absl::InfiniteFuture()) {
             auto entry = target->entry;
             entry.cold = std::max(target->coldStart.until() - now, absl::ZeroDuration());
-            entry.draining = target->leaving(); // Whoever said it: the asker may have heard of it from nobody.
+            entry.draining = target->leaving(); // From any source: the requester may not know of it otherwise.
             state.targets.push_back({std::move(entry), false, target->fault});
         }
     }
@@ -167,7 +167,7 @@
 {
     wire::PeerState in;
     if (!in.ParseFromString(text)) {
-        throw core::InvalidDocument("a peer's state: it cannot be read");
+        throw core::InvalidDocument("peer state: not a valid message");
     }
     PeerState state;
     state.version = static_cast<std::int64_t>(in.version());
