--- a/include/spurlug/membership/heartbeat.h
+++ b/include/spurlug/membership/heartbeat.h
@@ -37,7 +37,7 @@
     std::vector<DomainSummary> summaries;
     std::vector<targets::TargetWork> work; ///< Work of the sender itself.
     std::vector<std::uint32_t> unreachable; ///< `targets::targetHash` of targets that do not answer the sender.
-    /// `relay::lifeHash` of targets that leave although their entries do not say so.
+    /// `relay::lifeHash` of draining targets whose entries do not say so yet.
     std::vector<std::uint32_t> leaving;
     std::vector<targets::RateNews> rates; ///< Rate limits that targets have set or lifted.
     std::vector<core::Address> knownPeers; ///< Addresses of some daemons that the sender receives heartbeats from.
--- a/include/spurlug/membership/peer_table.h
+++ b/include/spurlug/membership/peer_table.h
@@ -45,7 +45,7 @@
 {
     PeerNews news;
     core::Time heardAt = absl::InfinitePast();
-    bool listedLeaving = false; ///< Whether the VM list marks it as leaving.
+    bool listedLeaving = false; ///< Whether the VM list marks it as draining.
 };
 
 /// \brief Result of recording a heartbeat.
@@ -94,7 +94,7 @@
 /// \brief Table of peers, updated by heartbeats, the VM list and the time. Has no I/O and no clock.
 ///
 /// A peer is alive while its heartbeats arrive. The VM list only adds addresses to contact and marks peers that are
-/// leaving: an empty, outdated or missing list removes no peer.
+/// draining: an empty, outdated or missing list removes no peer.
 class PeerTable
 {
 public:
--- a/include/spurlug/relay/control_plane_impl.h
+++ b/include/spurlug/relay/control_plane_impl.h
@@ -229,7 +229,7 @@
             break;
         }
     }
-    m_fetchingUntil = absl::InfinitePast(); // The next proof answer shows whether anything is still missing.
+    m_fetchingUntil = absl::InfinitePast(); // The next freshness reply shows whether anything is still missing.
 }
 
 template<Directory Source>
--- a/include/spurlug/relay/follower.h
+++ b/include/spurlug/relay/follower.h
@@ -67,7 +67,7 @@
 /// \brief Applies target lists and changes from the directory or a peer to the known targets.
 ///
 /// Entries that expired while the directory was unavailable are written again when their targets reach it. A target
-/// that is missing shortly after an outage is therefore kept a little longer, unless it had announced that it leaves.
+/// that is missing shortly after an outage is therefore kept a little longer, unless it had announced that it drains.
 ///
 /// Each entry is checked on its own. An entry that cannot be read, for example one written by a program that does not
 /// know the format, adds no target; a target that is already known by that id gets no requests until its next valid
@@ -147,8 +147,7 @@
     /// Each answered wait confirms the configuration as of the time when the wait was requested, so a confirmation
     /// reaches an age of two waits. There is one call per wait.
     static constexpr auto ConfigurationWait = absl::Milliseconds(1200);
-    /// Wait while other daemons ask this one: they add a third of a second to the age of a
-    /// confirmation.
+    /// Wait while other daemons ask this one: they add a third of a second to the age of a confirmation.
     static constexpr auto ConfigurationWaitForOthers = absl::Milliseconds(600);
     /// Between checks whether this daemon is to read the directory.
     static constexpr auto RolePause = absl::Milliseconds(50);
@@ -327,7 +326,7 @@
             }
             takeEvacuationsOf(told, listAgainAt, now);
         } else if (answer.status == DirectoryStatus::HistoryGone) {
-            told = {}; // The list tells what the history hides.
+            told = {}; // The full list covers the changes that the history no longer has.
         }
         if (now >= listAgainAt) {
             told = {};
--- a/src/membership/heartbeat_service.cpp
+++ b/src/membership/heartbeat_service.cpp
@@ -19,8 +19,8 @@
 
 constexpr std::uint64_t IntroduceEvery = 10;
 constexpr std::uint64_t SummariesEvery = 8;
-constexpr int PauseIntervals
-    = 3; // A gap of more than this many intervals between rounds means that the daemon was paused.
+/// A gap of more than this many intervals between rounds means that the daemon was paused.
+constexpr int PauseIntervals = 3;
 
 } // namespace
 
--- a/src/relay/fleet_membership.cpp
+++ b/src/relay/fleet_membership.cpp
@@ -37,20 +37,20 @@
 constexpr auto YouthInterval = absl::Milliseconds(300);
 /// Time without an answer from any registrar of this domain after which other daemons are contacted.
 constexpr auto RegistrarPatience = absl::Milliseconds(2500);
-constexpr std::size_t RegistrarsElsewhere
-    = 2; // Per other failure domain, those that the registrars of this one send heartbeats to.
+/// Registrars of each other failure domain that the registrars of this one send heartbeats to.
+constexpr std::size_t RegistrarsElsewhere = 2;
 /// Daemons listed for each role: the holders and the next candidates.
 constexpr std::size_t HoldersNamed = 3;
-constexpr auto RostersKept
-    = absl::Milliseconds(100); // Lists change slowly, and some hundred requests arrive per second.
+/// Lists change slowly, and some hundred requests arrive per second.
+constexpr auto RostersKept = absl::Milliseconds(100);
 /// Changes that arrive shortly after each other, as when a whole fleet starts, are handled as a batch; the next round
 /// handles the last of them.
 constexpr auto RefreshPause = absl::Milliseconds(30);
 /// Rounds after which a daemon's failure domain knows its state: one to inform the registrars, one for their answers.
 constexpr double HeardAfterRounds = 2;
-constexpr auto PauseNoticed
-    = absl::Milliseconds(3000); // Between rounds; a longer gap means that the process was stopped.
-/// Leaving targets listed in a heartbeat: if a large release has more, each heartbeat has a new random selection.
+/// A longer gap between rounds means that the process was stopped.
+constexpr auto PauseNoticed = absl::Milliseconds(3000);
+/// Draining targets listed in a heartbeat: if a large release has more, each heartbeat has a new random selection.
 constexpr std::size_t MostLeavingTold = 48;
 constexpr std::size_t MostRatesTold = 32; ///< Targets whose rate limits a heartbeat lists.
 
--- a/src/relay/follower.cpp
+++ b/src/relay/follower.cpp
@@ -20,8 +20,8 @@
 
 constexpr auto FirstWait = absl::Milliseconds(50);
 constexpr auto LongestWait = absl::Milliseconds(500);
-/// Longest wait of a daemon between failed calls, per daemon that reads the directory: together they make some hundred
-/// calls a second.
+/// Wait of a daemon between failed calls, per daemon that reads the directory. It is shortened at random by up to half;
+/// all daemons together make some hundred calls a second.
 constexpr auto WaitForEach = absl::Milliseconds(10);
 /// Up to this many daemons need no longer waits: the readers of a fleet, or a small fleet.
 constexpr std::size_t FewCallers = 20;
