--- a/include/spurlug/claims/claim_owner.h
+++ b/include/spurlug/claims/claim_owner.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: commits the claims of a failure domain together
+// spurlug: commits the claims of a failure domain in batches
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -18,9 +18,10 @@
 namespace spurlug::claims
 {
 
-/// \brief Collects wishes and commits them in one write a shard and round. Safe to use from several threads.
+/// \brief Collects claim requests and commits them periodically, with one write per shard. Thread-safe.
 ///
-/// Two owners at once cost conflicts, never a second run: the conditional update decides.
+/// Two owners at the same time cause conflicts, but never a second run of a request, because claims are stored by
+/// conditional update.
 class ClaimOwner
 {
 public:
@@ -31,7 +32,7 @@
     ClaimOwner(const ClaimOwner &) = delete;
     ClaimOwner &operator=(const ClaimOwner &) = delete;
 
-    /// \brief Adds a wish; `onAnswer` is called once, after the next round.
+    /// \brief Queues a claim request; `onAnswer` is called once, after the next commit.
     void wish(ClaimWish wish, OnAnswer onAnswer) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
--- a/include/spurlug/claims/claim_shard.h
+++ b/include/spurlug/claims/claim_shard.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: claimed idempotency keys, as one object of the platform holds them
+// spurlug: claimed idempotency keys of one object on the platform
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -12,37 +12,39 @@
 namespace spurlug::claims
 {
 
-/// \brief Number of objects that claims are spread over.
+/// \brief Number of objects that claims are distributed over.
 inline constexpr int Shards = 4;
 
-/// \brief How long a key stays claimed, seconds. A caller that repeats a request later than this runs it again.
+/// \brief Lifetime of a claim, in seconds. A request that a caller repeats later than this runs again.
 inline constexpr std::int64_t KeptSeconds = 600;
 
 /// \brief One claimed key.
 struct Claim
 {
-    std::string requestId; ///< Request that claimed it first.
+    std::string requestId; ///< Request that holds the claim.
     std::int64_t claimedAt = 0; ///< Wall-clock time, seconds since 1970.
 };
 
-/// \brief The keys of one shard. Keys are kept as hashes of organisation and key.
+/// \brief The claims of one shard, by `claimName`.
 using ClaimTable = std::map<std::string, Claim>;
 
-/// \brief Name under which a caller's key is claimed: 128 bits of SHA-256, hexadecimal.
+/// \brief Name of the claim for a caller's key: 128 bits of the SHA-256 of organisation and key, in hexadecimal.
 [[nodiscard]] std::string claimName(std::string_view organisation, std::string_view idempotencyKey);
 
-/// \brief Shard of a claim's name.
+/// \brief Shard that holds the claim of this name.
 [[nodiscard]] int shardOf(std::string_view claimName) noexcept;
 
-/// \brief Object that holds a shard.
+/// \brief Name of the object that stores a shard.
 [[nodiscard]] std::string shardObject(int shard);
 
+/// \brief Parses a shard.
 /// \throws InvalidDocument
 [[nodiscard]] ClaimTable readShard(std::string_view text);
 
+/// \brief Serialises a shard.
 [[nodiscard]] std::string writeShard(const ClaimTable &table);
 
-/// \brief Drops claims that were kept long enough.
+/// \brief Drops claims older than their lifetime.
 /// \param nowSeconds Wall-clock time, seconds since 1970.
 void dropOld(ClaimTable &table, std::int64_t nowSeconds);
 
--- a/include/spurlug/claims/commit.h
+++ b/include/spurlug/claims/commit.h
@@ -15,34 +15,34 @@
 namespace spurlug::claims
 {
 
-/// \brief What became of a wish to claim.
+/// \brief Result of a claim request.
 enum class ClaimResult
 {
-    Won, ///< The request is the first with this key: it may run.
-    Taken, ///< Another request has the key: this one must not run.
-    Unavailable, ///< The platform cannot tell: this one must not run.
+    Won, ///< The request holds the claim for its key and may run.
+    Taken, ///< Another request holds the claim; this one must not run.
+    Unavailable, ///< The platform did not store the claim; the request must not run.
 };
 
-/// \brief A wish to claim a key, or to give it back because the request did not run.
+/// \brief Request to claim a key, or to release it because the request did not run.
 struct ClaimWish
 {
-    std::string name; ///< claimName
+    std::string name; ///< Name from `claimName`.
     std::string requestId;
     bool giveBack = false;
 };
 
-/// \brief What became of a wish.
+/// \brief Answer to a claim request.
 struct ClaimAnswer
 {
     ClaimResult result = ClaimResult::Unavailable;
-    std::string holder; ///< Request that has the key.
+    std::string holder; ///< Request that holds the claim.
 };
 
 /// \cond
 namespace detail
 {
 
-/// Puts wishes into a table and answers them as if the table were stored.
+/// Applies claim requests to a table; the answers are valid once the table is stored.
 inline std::vector<ClaimAnswer> carryOut(ClaimTable &table, const std::vector<ClaimWish> &wishes,
                                          std::int64_t nowSeconds)
 {
@@ -69,12 +69,12 @@
 } // namespace detail
 /// \endcond
 
-/// \brief Commits wishes of one shard together: one write when nothing gets in the way.
+/// \brief Commits the claim requests of one shard together, with one write unless there is a conflict.
 ///
-/// Another owner's write is met by reading again. When an answer was lost, the shard is read back: a claim found under
-/// its own request's name was won, whichever of two writes stored it.
+/// After a conflict with another owner's write, the shard is read again. It is also read again when an answer was lost:
+/// a claim that names its own request was acquired, whichever of two writes stored it.
 /// \param nowSeconds Wall-clock time, seconds since 1970.
-/// \returns An answer for each wish; all Unavailable when the platform does not answer.
+/// \returns An answer for each request; all are Unavailable when the platform does not answer.
 template<objects::ObjectApi Api>
 [[nodiscard]] std::vector<ClaimAnswer> commit(const Api &api, int shard, const std::vector<ClaimWish> &wishes,
                                               std::int64_t nowSeconds)
--- a/include/spurlug/config/apply.h
+++ b/include/spurlug/config/apply.h
@@ -15,14 +15,14 @@
 namespace spurlug::config
 {
 
-/// \brief The root that is in force and its object version.
+/// \brief The active root and its object version.
 struct StoredRoot
 {
     Root root;
-    std::int64_t version = 0; ///< 0: there is none yet.
+    std::int64_t version = 0; ///< 0 when no root is stored yet.
 };
 
-/// \brief Reads the root that is in force.
+/// \brief Reads the active root.
 /// \throws PlatformUnavailable, InvalidDocument
 template<objects::ObjectApi Api>
 [[nodiscard]] StoredRoot readStoredRoot(const Api &api)
@@ -34,9 +34,9 @@
     return {readRoot(object->value), object->version};
 }
 
-/// \brief Stores the parts that the current root does not name already.
+/// \brief Stores the parts that the current root does not refer to.
 ///
-/// A part's name is its content, so that writing it twice, or finding it written, is success.
+/// A part is named after the hash of its content, so that a part that is already stored counts as success.
 /// \throws PlatformUnavailable
 template<objects::ObjectApi Api>
 void storeParts(const Api &api, const Split &split, const Root &current)
@@ -61,7 +61,7 @@
     }
 }
 
-/// \brief Whether a change became part of the configuration, told from the root that is in force now.
+/// \brief Whether `root`, the active one, includes a change.
 [[nodiscard]] inline bool includesChange(const Root &root, const std::string &changeId)
 {
     return std::find(root.history.begin(), root.history.end(), changeId) != root.history.end();
@@ -69,13 +69,13 @@
 
 /// \brief Replaces the configuration by `document`.
 ///
-/// When an answer is lost, the root's history tells whether the change took effect, also when another author has
-/// followed it since; a change that did not take effect is sent again under the same condition.
-/// \param expected The root that the author saw; the change is refused when another one is in force.
-/// \param changeId Unique to this change.
-/// \returns The generation that the change has.
-/// \throws VersionConflict when another author won; nothing of this change is in force.
-/// \throws PlatformUnavailable when the change is not in force.
+/// When an answer is lost, the root's history tells whether the change took effect, even after later changes of other
+/// authors; a change that did not take effect is sent again under the same condition.
+/// \param expected The root that the author saw; the change is refused when another one is active.
+/// \param changeId Unique id of this change.
+/// \returns The generation of the change.
+/// \throws VersionConflict when another author changed the configuration first; the change has no effect.
+/// \throws PlatformUnavailable when the change has no effect.
 /// \throws UnknownResult when the root was sent and could not be read back.
 template<objects::ObjectApi Api>
 std::int64_t applyDocument(const Api &api, const nlohmann::json &document, const StoredRoot &expected,
@@ -107,7 +107,7 @@
         }
         if (found.version != expected.version) {
             throw core::VersionConflict(
-                core::cat("generation ", found.root.generation, " by ", found.root.author, " is in force"));
+                core::cat("generation ", found.root.generation, " by ", found.root.author, " is active"));
         }
     }
 }
--- a/include/spurlug/config/configuration.h
+++ b/include/spurlug/config/configuration.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the fleet's configuration, as operators write it
+// spurlug: the fleet's configuration, as written by operators
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -19,26 +19,26 @@
 namespace spurlug::config
 {
 
-/// \brief One back end: a model engine or one process of a plain service.
+/// \brief A target: a model engine or one process of a plain service.
 struct TargetSpec
 {
     std::string id;
     core::Address address;
     std::string failureDomain;
-    bool checksFence = false; ///< Whether the target refuses orders with an old fencing epoch.
+    bool checksFence = false; ///< Whether the target rejects requests with an old fencing epoch.
 };
 
-/// \brief Engines that serve one model.
+/// \brief The engines that serve one model.
 struct Pool
 {
     std::string name;
     std::string model;
-    std::int64_t longThresholdTokens = 32'000; ///< Prompts from this size on need a grant.
-    std::int64_t engineTokens = 400'000; ///< KV memory of one engine, tokens.
-    std::int64_t maxGroup = 4; ///< Most engines that one prompt may occupy.
-    double longShare = 0.5; ///< Largest share of the engines that long prompts may occupy.
+    std::int64_t longThresholdTokens = 32'000; ///< Prompts of at least this size need a grant.
+    std::int64_t engineTokens = 400'000; ///< KV memory of one engine, in tokens.
+    std::int64_t maxGroup = 4; ///< Maximum number of engines that one prompt may occupy.
+    double longShare = 0.5; ///< Maximum share of the engines that long prompts may occupy.
     RoutingStrategy routing = RoutingStrategy::ExpectedTtft;
-    double bytesPerToken = 4.0; ///< First estimate; learned from usage afterwards.
+    double bytesPerToken = 4.0; ///< Initial estimate; later learned from usage.
     std::vector<TargetSpec> targets;
 };
 
@@ -46,38 +46,38 @@
 struct Service
 {
     std::string name;
-    std::vector<std::string> repeatableMethods; ///< HTTP methods whose calls may be sent again.
+    std::vector<std::string> repeatableMethods; ///< HTTP methods of calls that may be sent again.
     std::vector<TargetSpec> targets;
 };
 
-/// \brief An API key as it is kept: never the key itself.
+/// \brief Salted digest of an API key; the key itself is never stored.
 struct KeyDigest
 {
     std::string salt;
     std::string digest; ///< SHA-256 of salt and key, 64 hexadecimal digits.
 };
 
-/// \brief Who a request is served for.
+/// \brief An organisation for which requests are served.
 struct Organisation
 {
     std::string name;
-    double weight = 1.0; ///< Share when targets are contended.
+    double weight = 1.0; ///< Relative share of contended targets.
     double requestsPerSecond = 0; ///< 0: no limit.
     double promptTokensPerMinute = 0; ///< 0: no limit.
     std::int64_t longPromptsAtOnce = 0; ///< 0: no limit.
     std::vector<KeyDigest> keys;
 };
 
-/// \brief What a caller may ask for in time and urgency.
+/// \brief Deadlines and priority of a class of requests.
 struct RequestClass
 {
     std::string name;
     core::Duration defaultDeadline = absl::Seconds(60);
     core::Duration maxDeadline = absl::Seconds(600);
-    std::int64_t priority = 0; ///< Lower is served earlier by engines.
+    std::int64_t priority = 0; ///< Engines serve lower values first.
 };
 
-/// \brief A whole configuration of one generation; immutable once it is shared.
+/// \brief The configuration of one generation; immutable once it is shared.
 struct Configuration : core::Counted<Configuration>
 {
     std::int64_t generation = 0;
@@ -86,17 +86,21 @@
     std::vector<Organisation> organisations;
     std::vector<RequestClass> classes;
 
+    /// \name Look-ups; null when there is no match
+    /// @{
     [[nodiscard]] const Pool *poolForModel(std::string_view model) const noexcept;
     [[nodiscard]] const Pool *poolNamed(std::string_view name) const noexcept;
     [[nodiscard]] const Service *serviceNamed(std::string_view name) const noexcept;
     [[nodiscard]] const RequestClass *classNamed(std::string_view name) const noexcept;
     [[nodiscard]] const Organisation *organisationNamed(std::string_view name) const noexcept;
-    /// \brief The organisation whose key this is, or null.
+    /// \brief The organisation that owns an API key.
     ///
-    /// The key names its digest by the text before its first dot (`salt.secret`), so that one hash is computed however
-    /// many organisations there are.
+    /// The text before the key's first dot (`salt.secret`) identifies its digest, so that one hash is computed whatever
+    /// the number of organisations.
     [[nodiscard]] const Organisation *organisationForKey(std::string_view key) const;
-    /// \brief Builds the tables behind the look-ups; call once, before sharing.
+    /// @}
+
+    /// \brief Builds the look-up tables; call once, before the configuration is shared.
     void index();
 
 private:
@@ -112,12 +116,12 @@
 /// \brief A shared, immutable configuration.
 using ConfigurationRef = core::Ref<const Configuration>;
 
-/// \brief Digest under which an API key is kept.
+/// \brief Digest under which an API key is stored.
 [[nodiscard]] std::string keyDigest(std::string_view salt, std::string_view key);
 
-/// \brief Reads a whole configuration document and notes every fault in it.
-/// \param generation Generation that the result carries.
-/// \returns A configuration, of use only when `faults` stayed empty.
+/// \brief Parses a whole configuration document and records every fault in it.
+/// \param generation Generation of the result.
+/// \returns A configuration that is valid only if no fault was added to `faults`.
 [[nodiscard]] ConfigurationRef readConfiguration(const nlohmann::json &document, std::int64_t generation,
                                                  std::vector<core::Fault> &faults);
 
--- a/include/spurlug/config/parts.h
+++ b/include/spurlug/config/parts.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a configuration cut into content-addressed parts and one root
+// spurlug: splits a configuration into content-addressed parts and one root
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,33 +14,33 @@
 namespace spurlug::config
 {
 
-/// \brief Name of the one object that says which parts are in force.
+/// \brief Name of the object that lists the active parts.
 inline constexpr std::string_view RootObject = "config/root";
 
-/// \brief Number of shards that organisations are spread over.
+/// \brief Number of shards that organisations are distributed over.
 inline constexpr int OrganisationShards = 64;
 
-/// \brief What the root object holds.
+/// \brief Content of the root object.
 struct Root
 {
     std::int64_t generation = 0;
-    std::string changeId; ///< Chosen by the author, so that a lost answer can be looked up.
+    std::string changeId; ///< Chosen by the author, to find out the result of a change whose answer was lost.
     std::string author;
     std::map<std::string, std::string> parts; ///< Part name to SHA-256 of its text.
-    std::vector<std::string> history; ///< Change ids of the latest generations, newest first, this one included.
+    std::vector<std::string> history; ///< Change ids of the latest generations, newest first, including this one.
 };
 
-/// \brief Number of change ids that a root remembers.
+/// \brief Maximum number of change ids in the history of a root.
 inline constexpr std::size_t HistoryLength = 32;
 
-/// \brief The root that follows `current`.
+/// \brief Creates the root of the generation after `current`.
 [[nodiscard]] Root nextRoot(const Root &current, const std::string &changeId, const std::string &author,
                             const std::map<std::string, std::string> &parts);
 
-/// \brief The texts of a configuration's parts, by SHA-256.
+/// \brief Texts of a configuration's parts by their SHA-256.
 using PartTexts = std::map<std::string, std::string>;
 
-/// \brief A configuration ready to be stored.
+/// \brief A configuration that is split into parts, ready to be stored.
 struct Split
 {
     std::map<std::string, std::string> parts; ///< Part name to SHA-256.
@@ -50,16 +50,18 @@
 /// \brief Object name of a part.
 [[nodiscard]] std::string partObject(std::string_view hash);
 
-/// \brief Cuts a document into parts: one each for pools, services and classes, and 64 for organisations.
+/// \brief Splits a document into parts: one each for pools, services and classes, and up to 64 for organisations.
 [[nodiscard]] Split splitDocument(const nlohmann::json &document);
 
-/// \brief Puts a document together again.
-/// \throws InvalidDocument when a part is missing, does not match its hash or is no JSON.
+/// \brief Joins the parts of a document.
+/// \throws InvalidDocument when a part is missing, does not match its hash or is not JSON.
 [[nodiscard]] nlohmann::json joinDocument(const Root &root, const PartTexts &texts);
 
+/// \brief Serialises a root.
 [[nodiscard]] std::string writeRoot(const Root &root);
 
-/// \throws InvalidDocument when the text is no root.
+/// \brief Parses a root.
+/// \throws InvalidDocument when the text is not a valid root.
 [[nodiscard]] Root readRoot(std::string_view text);
 
 } // namespace spurlug::config
--- a/include/spurlug/config/route_table.h
+++ b/include/spurlug/config/route_table.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: routes, services and organisations of the relay
+// spurlug: routes, services and organisations of the relay's configuration
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -18,22 +18,22 @@
 namespace spurlug::config
 {
 
-/// \brief What may be done twice with a request of a route.
+/// \brief Whether a request of a route may run more than once.
 enum class RouteKind
 {
     Repeatable, ///< May run more than once.
     AtMostOnce,
-    Stream, ///< Answers with events; repeatable where it can be resumed.
+    Stream, ///< The answer is an event stream; repeatable if the route is resumable.
 };
 
-/// \brief A service that a route sends to, and its share of the requests.
+/// \brief A service of a route and the weight of its share of the requests.
 struct ServiceShare
 {
     std::string service;
     double weight = 1;
 };
 
-/// \brief Where requests of a host and path go, and what is promised for them.
+/// \brief Services and service levels for the requests of a host and path.
 struct Route
 {
     std::string name;
@@ -41,13 +41,13 @@
     std::string pathPrefix; ///< Begins and ends with a slash.
     RouteKind kind = RouteKind::AtMostOnce;
     std::vector<ServiceShare> services;
-    core::Duration timeout; ///< Longest time a request is held.
-    core::Duration aim; ///< Time to the answer, of streams to the first event, that counts as in time.
-    core::Duration gapAim = absl::InfiniteDuration(); ///< Longest pause between events that counts as in time.
+    core::Duration timeout; ///< Maximum time to answer a request.
+    core::Duration aim; ///< Objective for the time to the answer, of streams to the first event.
+    core::Duration gapAim = absl::InfiniteDuration(); ///< Objective for the longest gap between events.
     std::int64_t priority = 0; ///< 0 is the most urgent.
-    int mostTargets = 1; ///< Most targets that one request is sent to.
-    bool isPublic = false; ///< Needs no key.
-    bool resumable = false; ///< A broken stream may go on at another target.
+    int mostTargets = 1; ///< Maximum number of targets that one request is sent to.
+    bool isPublic = false; ///< Requests need no key.
+    bool resumable = false; ///< A broken stream may continue at another target.
 
     /// \brief Whether a request that may have run can be sent again.
     [[nodiscard]] bool repeatable() const noexcept
@@ -56,42 +56,43 @@
     }
 };
 
-/// \brief How fast a model engine works: its batch passes, as the operator publishes them.
+/// \brief Cost model of a model engine's batch passes, as published by the operator.
 struct EngineCosts
 {
-    double stepMs = 1; ///< One token step, ms.
-    double perSequenceMs = 0; ///< Added to a step by each request that generates, ms.
+    double stepMs = 1; ///< Duration of a token step, ms.
+    double perSequenceMs = 0; ///< Added to a step by each decoding request, ms.
     double contextMsPerThousand = 0; ///< Added to a step by each 1,000 tokens of context, ms.
-    double readTokensPerMs = 200; ///< Prompt tokens read in one ms.
-    double pairsMsPerMillion = 0; ///< Added to reading by each million pairs of a token and an earlier one, ms.
-    double hopMs = 0; ///< Added to each step by a prompt that lies on several engines, ms.
-    std::int64_t chunkTokens = 2048; ///< Most prompt tokens read in one step.
-    int stepsPerPass = 1; ///< Token steps of a pass that has generating requests.
-    int slots = 1; ///< Requests that run at once.
-    std::int64_t memoryTokens = 0; ///< KV memory, tokens.
-    std::int64_t usualPrompt = 0; ///< Mean prompt, tokens.
-    std::int64_t usualAnswer = 0; ///< Mean answer, tokens.
+    double readTokensPerMs = 200; ///< Prompt tokens prefilled per ms.
+    double pairsMsPerMillion = 0; ///< Added to prefill by each million pairs of a token and an earlier token, ms.
+    double hopMs = 0; ///< Added to each step by a prompt that is spread over several engines, ms.
+    std::int64_t chunkTokens = 2048; ///< Maximum prompt tokens prefilled in one step.
+    int stepsPerPass = 1; ///< Token steps of a pass with decoding requests.
+    int slots = 1; ///< Maximum number of concurrent requests.
+    std::int64_t memoryTokens = 0; ///< KV memory, in tokens.
+    std::int64_t usualPrompt = 0; ///< Mean prompt length, in tokens.
+    std::int64_t usualAnswer = 0; ///< Mean answer length, in tokens.
 };
 
-/// \brief Shortest pauses between events that streams of a service bear; infinite where there are no such streams.
+/// \brief Smallest gap objectives of the streams of a service; infinite when there are no such streams.
 struct ShortestPauses
 {
-    core::Duration tight = absl::InfiniteDuration(); ///< Of tight streams.
-    core::Duration loose = absl::InfiniteDuration(); ///< Of all others.
+    core::Duration tight = absl::InfiniteDuration(); ///< Of streams that tolerate only short gaps.
+    core::Duration loose = absl::InfiniteDuration(); ///< Of all other streams.
 };
 
-/// \brief A service and what its targets have in common.
+/// \brief A service and the properties shared by its targets.
 struct ServiceSpec
 {
     std::string name;
     std::string healthPath;
-    core::Duration coldStart = absl::ZeroDuration(); ///< A target is slow for this long after its start.
-    double coldPerSecond = 0; ///< Requests a second that a cold target bears; 0: as many as a warm one.
-    std::int64_t mostConnections = 0; ///< To one target, from all daemons together.
-    std::optional<EngineCosts> engine; ///< Set where the targets are model engines.
+    core::Duration coldStart = absl::ZeroDuration(); ///< Warm-up time: a target is slow for this long after its start.
+    double coldPerSecond
+        = 0; ///< Requests per second that a target accepts while it warms up; 0: as many as afterwards.
+    std::int64_t mostConnections = 0; ///< Maximum connections to one target from all daemons together.
+    std::optional<EngineCosts> engine; ///< Set when the targets are model engines.
 };
 
-/// \brief What callers may send.
+/// \brief Limits for requests of callers.
 struct CallerLimits
 {
     std::int64_t headBytes = 16 << 10;
@@ -100,34 +101,37 @@
     core::Duration idleTimeout = absl::Seconds(15);
 };
 
-/// \brief Whom requests are served for.
+/// \brief An organisation for which requests are served.
 struct OrganisationSpec
 {
     std::string name;
-    std::int64_t priority = -1; ///< Goes before the route's; -1: not set.
+    std::int64_t priority = -1; ///< Overrides the route's priority; -1: not set.
 };
 
-/// \brief One version of the relay's configuration; never changes once made.
+/// \brief One version of the relay's configuration; immutable once it is shared.
 struct RouteTable : core::Counted<RouteTable>
 {
     std::int64_t version = 0;
     std::vector<Route> routes;
     std::unordered_map<std::string, ServiceSpec> services;
     CallerLimits limits;
-    bool keysNeeded = false; ///< Whether requests of routes that are not public need a key.
+    bool keysNeeded = false; ///< Whether requests of non-public routes need a key.
     std::unordered_map<std::string, OrganisationSpec> organisationByKey;
 
     /// \brief The route with the longest prefix of `path` among those of `host`; null when there is none.
     [[nodiscard]] const Route *find(std::string_view host, std::string_view path) const noexcept;
+    /// \brief The route called `name`; null when there is none.
     [[nodiscard]] const Route *named(std::string_view name) const noexcept;
+    /// \brief The service called `name`; null when there is none.
     [[nodiscard]] const ServiceSpec *service(const std::string &name) const noexcept;
-    /// \brief Shortest pauses of the streams of each service.
-    /// \param tightGap Streams that bear only shorter pauses than this are tight.
+    /// \brief Smallest gap objectives of the streams of each service.
+    /// \param tightGap Streams with a gap objective below this tolerate only short gaps.
     [[nodiscard]] std::unordered_map<std::string, ShortestPauses> shortestPauses(core::Duration tightGap) const;
-    /// \brief The organisation that holds a key; null when none does.
+    /// \brief The organisation that owns a key; null when there is none.
     [[nodiscard]] const OrganisationSpec *organisation(const std::string &key) const noexcept;
 };
 
+/// \brief A shared, immutable route table.
 using RouteTableRef = core::Ref<const RouteTable>;
 
 } // namespace spurlug::config
--- a/include/spurlug/config/routing_strategy.h
+++ b/include/spurlug/config/routing_strategy.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: ways to choose among targets
+// spurlug: strategies for choosing a target
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -9,14 +9,14 @@
 namespace spurlug::config
 {
 
-/// \brief How a pool's requests are spread over its targets; all but the first are there to be compared with.
+/// \brief How a pool's requests are distributed over its targets; all but the first are baselines for comparison.
 enum class RoutingStrategy
 {
     ExpectedTtft, ///< Shortest expected time to first token.
     Random,
     RoundRobin,
-    LeastOutstanding, ///< Fewest requests of this daemon in progress.
-    PowerOfTwo, ///< The one of two random targets with fewer requests of this daemon in progress.
+    LeastOutstanding, ///< The target with the fewest requests of this daemon in progress.
+    PowerOfTwo, ///< Of two random targets, the one with fewer requests of this daemon in progress.
 };
 
 } // namespace spurlug::config
--- a/include/spurlug/config/store.h
+++ b/include/spurlug/config/store.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the configuration in force at this daemon
+// spurlug: the active configuration of this daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,17 +16,17 @@
 namespace spurlug::config
 {
 
-/// \brief What became of an offered configuration.
+/// \brief Result of offering a configuration.
 enum class OfferResult
 {
     Applied,
-    NotNewer, ///< Its generation is not above the one in force.
-    Refused, ///< It has faults; the one in force stays.
+    NotNewer, ///< Its generation is not above the active one.
+    Refused, ///< It has faults; the active configuration stays.
 };
 
-/// \brief Holds one configuration and replaces it only by higher generations. Safe to use from several threads.
+/// \brief Holds the active configuration and replaces it only by higher generations. Thread-safe.
 ///
-/// Lock order: `m_mutex` before the locks of what `onApplied` calls.
+/// Lock order: `m_mutex` before the locks taken in `onApplied`.
 class Store
 {
 public:
@@ -38,34 +38,34 @@
     /// \name Commands
     /// @{
 
-    /// \brief Takes a configuration into force if it is newer and free of faults.
-    /// \param rootText The root as it is stored.
-    /// \param texts At least the parts that the root names and `missingParts` lists.
+    /// \brief Activates a configuration if it is newer and has no faults.
+    /// \param rootText The root in its stored form.
+    /// \param texts The texts of at least the parts that `missingParts` returns for the root.
     OfferResult offer(const std::string &rootText, PartTexts texts) ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// @}
     /// \name Queries
     /// @{
 
-    /// \brief The configuration in force; null before the first.
+    /// \brief The active configuration; null before the first.
     [[nodiscard]] ConfigurationRef current() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Generation in force; 0 before the first.
+    /// \brief The active generation; 0 before the first.
     [[nodiscard]] std::int64_t generation() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Highest generation that was refused; 0: none.
+    /// \brief Highest generation that was refused; 0 when there is none.
     [[nodiscard]] std::int64_t refusedGeneration() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief First fault of the refused generation.
+    /// \brief First fault of the configuration that was refused last.
     [[nodiscard]] std::string refusal() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief The root in force as it is stored; empty before the first.
+    /// \brief The active root in its stored form; empty before the first.
     [[nodiscard]] std::string rootText() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Texts of some parts in force; those that are not are left out.
+    /// \brief Texts of the given parts; parts that are not active are left out.
     [[nodiscard]] PartTexts texts(const std::vector<std::string> &hashes) const ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Hashes of a root's parts that are not here.
+    /// \brief Hashes of a root's parts that the active configuration does not have.
     [[nodiscard]] std::vector<std::string> missingParts(const Root &root) const ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// @}
--- a/include/spurlug/core/counted.h
+++ b/include/spurlug/core/counted.h
@@ -10,15 +10,15 @@
 namespace spurlug::core
 {
 
-/// \brief Base of objects that are shared through `Ref`; the last reference destroys the object.
+/// \brief Base class of reference-counted objects; the last `Ref` destroys the object. The count is thread-safe.
 template<typename Derived>
 using Counted = boost::intrusive_ref_counter<Derived, boost::thread_safe_counter>;
 
-/// \brief A counted reference.
+/// \brief A reference-counting pointer to a `Counted` object.
 template<typename T>
 using Ref = boost::intrusive_ptr<T>;
 
-/// \brief Makes an object and the first reference to it.
+/// \brief Creates an object and returns the first reference to it.
 template<typename T, typename... Args>
 [[nodiscard]] Ref<T> makeCounted(Args &&...args)
 {
--- a/include/spurlug/core/enum_names.h
+++ b/include/spurlug/core/enum_names.h
@@ -37,8 +37,7 @@
     EnumNames<Enum>::table.size();
 };
 
-/// \brief Name of an enumerator.
-/// \returns The name, or "unknown" for a value that is not in the table.
+/// \brief Returns the name of an enumerator, or "unknown" for a value that is not in the table.
 template<NamedEnum Enum>
 [[nodiscard]] constexpr std::string_view nameOf(Enum value) noexcept
 {
@@ -50,8 +49,7 @@
     return "unknown";
 }
 
-/// \brief Enumerator that has a name.
-/// \returns Nothing when no enumerator is called `name`.
+/// \brief Returns the enumerator called `name`, or nothing when there is none.
 template<NamedEnum Enum>
 [[nodiscard]] constexpr std::optional<Enum> valueNamed(std::string_view name) noexcept
 {
--- a/include/spurlug/core/error.h
+++ b/include/spurlug/core/error.h
@@ -26,7 +26,7 @@
     using Error::Error;
 };
 
-/// \brief The platform's object API or VM list did not answer, or answered with a fault.
+/// \brief The platform's object API or VM list did not answer, or answered with an error.
 class PlatformUnavailable : public Error
 {
 public:
@@ -40,7 +40,7 @@
     using Error::Error;
 };
 
-/// \brief A conditional update whose answer was lost: it may have taken effect.
+/// \brief The answer to a conditional update was lost, so that the update may have taken effect.
 class UnknownResult : public Error
 {
 public:
@@ -58,9 +58,9 @@
 class Refused : public Error
 {
 public:
-    /// \param reason Why; counted and told to the caller.
+    /// \param reason Reason that is counted and reported to the caller.
     /// \param detail One sentence for the caller.
-    /// \param retryAfterSeconds When to come back; 0 when coming back will not help.
+    /// \param retryAfterSeconds Delay before a retry; 0 when a retry does not help.
     Refused(Reason reason, const std::string &detail, int retryAfterSeconds = 0)
         : Error(detail)
         , m_reason(reason)
--- a/include/spurlug/core/hash.h
+++ b/include/spurlug/core/hash.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: hashes: placement (XXH3) and content (SHA-256)
+// spurlug: hash functions for placement (XXH3) and content (SHA-256)
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,13 +13,13 @@
 namespace spurlug::core
 {
 
-/// \brief Fast 64-bit hash (XXH3), the same on every daemon. Not safe against an adversary.
+/// \brief Fast 64-bit hash (XXH3), the same on every daemon. Not cryptographically secure.
 [[nodiscard]] std::uint64_t fastHash(std::string_view bytes, std::uint64_t seed = 0) noexcept;
 
 /// \brief SHA-256 of `bytes` as 64 lower-case hexadecimal digits.
 [[nodiscard]] std::string contentHash(std::string_view bytes);
 
-/// \brief The first 128 bits of a SHA-256: nobody finds two contents with the same one, by chance or on purpose.
+/// \brief The first 128 bits of a SHA-256: collisions cannot be expected by chance nor constructed on purpose.
 struct Digest
 {
     std::uint64_t high = 0;
@@ -32,10 +32,10 @@
     }
 };
 
-/// \brief Digest of some texts in order; where one ends and the next begins counts.
+/// \brief Digest of a sequence of texts; depends on their order and on the boundaries between them.
 [[nodiscard]] Digest digestOf(std::initializer_list<std::string_view> texts);
 
-/// \brief A digest as 32 lower-case hexadecimal digits.
+/// \brief Formats a digest as 32 lower-case hexadecimal digits.
 [[nodiscard]] std::string hexText(const Digest &digest);
 
 /// \brief HMAC-SHA-256 of `bytes` under `key`, 32 raw bytes.
--- a/include/spurlug/core/http_status.h
+++ b/include/spurlug/core/http_status.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: HTTP statuses and the reasons they stand for
+// spurlug: HTTP status codes and the status of each reason
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -10,7 +10,7 @@
 {
 
 inline constexpr int Ok = 200;
-inline constexpr int FirstRedirect = 300; ///< Success lies from Ok to below this.
+inline constexpr int FirstRedirect = 300; ///< Successful statuses are from Ok to below this value.
 inline constexpr int BadRequest = 400;
 inline constexpr int Unauthorised = 401;
 inline constexpr int NotFound = 404;
@@ -26,7 +26,7 @@
 inline constexpr int Unavailable = 503;
 inline constexpr int GatewayTimeout = 504;
 
-/// \brief Status that tells a caller why its request was refused or failed.
+/// \brief HTTP status of the answer to a request that was refused or failed for `reason`.
 [[nodiscard]] int statusOf(Reason reason) noexcept;
 
 } // namespace spurlug::core::http_status
--- a/include/spurlug/core/json_reader.h
+++ b/include/spurlug/core/json_reader.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: checked reading of JSON documents
+// spurlug: validating reader for JSON documents
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -15,21 +15,21 @@
 namespace spurlug::core
 {
 
-/// \brief One thing that is wrong in a document.
+/// \brief A validation error in a document.
 struct Fault
 {
     std::string pointer; ///< JSON pointer of the value, such as `/pools/0/name`.
-    std::string expected; ///< What should stand there.
+    std::string expected; ///< Description of a valid value.
 };
 
-/// \brief What a reader makes of members that it was never asked for, its own and those of objects within.
+/// \brief How a reader treats members that were never requested, in its object and in nested ones.
 enum class OtherMembers
 {
-    Fault, ///< In documents of ours: a misspelt key must not be passed over.
-    Ignored, ///< In documents of others, who may add members.
+    Fault, ///< For this project's own documents: a misspelt key must be reported.
+    Ignored, ///< For documents of other projects, which may add members.
 };
 
-/// \brief Reads the members of one JSON object, notes each fault and goes on.
+/// \brief Reads the members of one JSON object; records each fault and continues.
 ///
 /// \code
 /// std::vector<Fault> faults;
@@ -44,34 +44,35 @@
     using Visit = std::function<void(ObjectReader &)>;
 
     /// \param pointer JSON pointer of `value` in its document.
-    /// \param faults Where faults are noted; outlives the reader.
+    /// \param faults Receives the faults; must outlive the reader.
     ObjectReader(const nlohmann::json &value, std::string pointer, std::vector<Fault> &faults,
                  OtherMembers others = OtherMembers::Fault);
 
-    /// \brief A non-empty string that must be there.
+    /// \brief Reads a required, non-empty string.
     [[nodiscard]] std::string text(const std::string &key);
-    /// \brief A string that may be missing.
+    /// \brief Reads an optional string; one that is present must not be empty.
     [[nodiscard]] std::string text(const std::string &key, const std::string &fallback);
-    /// \brief An integer that must be there, within `least` to `most`.
+    /// \brief Reads a required integer from `least` to `most`.
     [[nodiscard]] std::int64_t integer(const std::string &key, std::int64_t least, std::int64_t most);
-    /// \brief An integer that may be missing.
+    /// \brief Reads an optional integer from `least` to `most`.
     [[nodiscard]] std::int64_t integer(const std::string &key, std::int64_t least, std::int64_t most,
                                        std::int64_t fallback);
-    /// \brief A number within `least` to `most` that may be missing.
+    /// \brief Reads an optional number from `least` to `most`.
     [[nodiscard]] double number(const std::string &key, double least, double most, double fallback);
-    /// \brief A truth value that may be missing.
+    /// \brief Reads an optional boolean.
     [[nodiscard]] bool flag(const std::string &key, bool fallback);
-    /// \brief An array of strings that may be missing.
+    /// \brief Reads an optional array of strings.
     [[nodiscard]] std::vector<std::string> texts(const std::string &key);
-    /// \brief Visits each object of an array that may be missing.
+    /// \brief Visits each object of an optional array.
     void objects(const std::string &key, const Visit &visit);
-    /// \brief Visits an object that may be missing.
+    /// \brief Visits an optional object.
     void object(const std::string &key, const Visit &visit);
-    /// \brief Notes a fault for each member that was never asked for, unless these are ignored.
+    /// \brief Records a fault for each member that was never requested, unless such members are ignored.
     void rejectOthers();
-    /// \brief Notes a fault at a member.
+    /// \brief Records a fault at a member.
     void fault(const std::string &key, std::string expected);
 
+    /// \brief JSON pointer of the object in its document.
     [[nodiscard]] const std::string &pointer() const noexcept;
 
 private:
--- a/include/spurlug/core/line_budget.h
+++ b/include/spurlug/core/line_budget.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: bounds how many lines of one kind are logged
+// spurlug: rate limit for log lines of one kind
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,7 +14,7 @@
 namespace spurlug::core
 {
 
-/// \brief At most so many lines of each kind in each second; the others are counted.
+/// \brief Limits the lines of each kind per second and counts those over the limit.
 class LineBudget
 {
 public:
@@ -22,15 +22,15 @@
         : m_mostPerSecond(mostPerSecond)
     { }
 
-    /// \brief Takes one line of `kind`.
-    /// \param suppressed Lines of that kind left out since the last one that was let through.
-    /// \returns Whether it may be written.
+    /// \brief Counts one line of `kind` against the limit.
+    /// \param suppressed Set, when the line is allowed, to the lines of that kind suppressed since the last allowed
+    /// one. \returns Whether the line may be written.
     [[nodiscard]] bool take(std::string_view kind, Time now, std::int64_t &suppressed);
 
 private:
     struct Kind
     {
-        Time second = absl::InfinitePast(); ///< Begin of the second that is counted.
+        Time second = absl::InfinitePast(); ///< Start of the current one-second window.
         std::int64_t lines = 0;
         std::int64_t suppressed = 0;
     };
--- a/include/spurlug/core/line_queue.h
+++ b/include/spurlug/core/line_queue.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: lines on their way to a writer that may stand still
+// spurlug: queue of log lines for a writer that may block
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -18,24 +18,25 @@
 namespace spurlug::core
 {
 
-/// \brief A bounded queue with a thread that writes. Adding a line never waits: when the writer is behind, new lines
-/// are dropped and counted.
+/// \brief A bounded queue with a writer thread. Adding a line never blocks on the writer: when the queue is full, new
+/// lines are dropped and counted.
 class LineQueue
 {
 public:
     /// \param write Writes one line; may block.
-    /// \param mostBytes Of all lines that wait.
+    /// \param mostBytes Maximum total size of the queued lines.
     LineQueue(std::function<void(const std::string &)> write, std::size_t mostBytes);
 
-    /// \brief Writes what waits, for `ExitWait` at most: a reader that stands still must not keep the process.
+    /// \brief Writes the queued lines, for at most `ExitWait`, so that a blocked reader cannot keep the process alive.
     ~LineQueue();
     LineQueue(const LineQueue &) = delete;
     LineQueue &operator=(const LineQueue &) = delete;
 
+    /// \brief Queues a line.
     /// \returns False when the line was dropped.
     bool add(std::string line) ABSL_LOCKS_EXCLUDED(m_state->mutex);
 
-    /// \brief Lines dropped since the last call.
+    /// \brief Returns and resets the number of dropped lines.
     [[nodiscard]] std::int64_t takeDropped() ABSL_LOCKS_EXCLUDED(m_state->mutex);
 
 private:
@@ -52,7 +53,7 @@
     static void writeAll(const std::shared_ptr<State> &state, const std::function<void(const std::string &)> &write);
 
     const std::size_t m_mostBytes;
-    std::shared_ptr<State> m_state; ///< Shared with the thread, which may outlive this object inside a blocked write.
+    std::shared_ptr<State> m_state; ///< Shared with the thread, which may outlive this object in a blocked write.
     std::thread m_writer;
 };
 
--- a/include/spurlug/core/log.h
+++ b/include/spurlug/core/log.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: structured logs: one JSON object a line on standard output
+// spurlug: structured log: one JSON object per line on standard output
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -12,7 +12,7 @@
 namespace spurlug::core
 {
 
-/// \brief How much a log line matters.
+/// \brief Severity of a log line.
 enum class LogLevel
 {
     Debug,
@@ -32,21 +32,24 @@
     };
 };
 
-/// \brief Sets up the log of this process. Call once, before any other thread starts.
-/// \param program Name that each line carries.
+/// \brief Initialises the log of this process. Call once, before any other thread starts.
+/// \param program Program name in each line.
 /// \param lowest Lines below this level are dropped.
 void startLog(std::string_view program, LogLevel lowest);
 
 /// \brief Changes the level below which lines are dropped.
 void setLogLevel(LogLevel lowest);
 
-/// \brief Writes what waits, for a moment at most, and ends the log. Call once, after all other threads.
+/// \brief Writes the queued lines, for a short time at most, and closes the log. Call once, after all other threads
+/// have ended.
 void stopLog();
 
-/// \brief Writes one line. Never waits: a thread of the log writes it. When the reader of standard output stands still,
-/// or one kind of line comes too often, lines are left out and counted in a later one.
-/// \param event What happened, in snake_case, the same words each time.
-/// \param fields A JSON object with what varies; never a secret.
+/// \brief Logs one line without waiting for the output: the log's own thread writes it.
+///
+/// When the reader of standard output blocks, or an event is logged too often, lines are dropped and a later line has
+/// their number.
+/// \param event Constant name of the event, in snake_case.
+/// \param fields A JSON object with the variable data; never a secret.
 void log(LogLevel level, std::string_view event, const nlohmann::json &fields);
 
 } // namespace spurlug::core
--- a/include/spurlug/core/periodic.h
+++ b/include/spurlug/core/periodic.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a thread that does something again and again
+// spurlug: a thread that calls a function periodically
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -15,22 +15,21 @@
 namespace spurlug::core
 {
 
-/// \brief Calls a function, waits, and calls it again, on a thread of its own, until the end of its life.
+/// \brief Calls a function periodically on its own thread, until destroyed.
 ///
-/// An exception that leaves the function is logged; the next call comes all the same.
+/// An exception from the function is logged; the next call follows after 1 s.
 class Periodic
 {
 public:
-    /// \brief Does one round.
-    /// \returns How long to wait before the next.
+    /// \brief The function to call; returns the wait before the next call.
     using Round = std::function<Duration()>;
 
-    /// \param name Of the thread's work, for logs.
+    /// \param name Name of the function in logs.
     Periodic(std::string name, Round round);
-    /// \brief Waits for the round in progress.
+    /// \brief Waits for the call in progress.
     ~Periodic();
 
-    /// \brief Starts the next round now, or right after the one in progress.
+    /// \brief Starts the next call now, or right after the one in progress.
     void runNow() ABSL_LOCKS_EXCLUDED(m_mutex);
 
     Periodic(const Periodic &) = delete;
--- a/include/spurlug/core/program.h
+++ b/include/spurlug/core/program.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what every program of the project does alike
+// spurlug: exit codes, signals and ports file of all programs
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -11,21 +11,21 @@
 {
 
 inline constexpr int ExitOk = 0;
-inline constexpr int ExitFailure = 1; ///< The work could not be done.
-inline constexpr int ExitUsage = 2; ///< The command line or a document is wrong.
+inline constexpr int ExitFailure = 1; ///< The program could not complete its work.
+inline constexpr int ExitUsage = 2; ///< The command line or a document is invalid.
 
 /// \brief Version of the project.
 inline constexpr auto Version = "0.1.0";
 
-/// \brief Makes SIGTERM and SIGINT wait for `waitForStopSignal`, and SIGPIPE harmless. Call before any thread starts.
+/// \brief Blocks SIGTERM and SIGINT, for `waitForStopSignal`, and ignores SIGPIPE. Call before any thread starts.
 void blockStopSignals();
 
-/// \brief Waits for SIGTERM or SIGINT.
+/// \brief Blocks until SIGTERM or SIGINT arrives.
 void waitForStopSignal();
 
-/// \brief Writes the addresses a program has bound, so that whoever started it finds them.
+/// \brief Writes the addresses that a program has bound, for the process that started it.
 ///
-/// The file appears whole or not at all. An empty path writes nothing.
+/// The file is replaced atomically. An empty path writes nothing.
 /// \throws InvalidDocument when the file cannot be written.
 void writePortsFile(const std::string &path, const nlohmann::json &addresses);
 
--- a/include/spurlug/core/reason.h
+++ b/include/spurlug/core/reason.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: reasons for refusals, retries and failed ends
+// spurlug: reasons for refusals, retries and failures, and outcomes of requests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -45,15 +45,15 @@
     AlreadyClaimed,
     DeadlinePassed,
     CallerGone,
-    StaleConfiguration, ///< It cannot be known whether keys and routes still hold.
-    TargetSilent, ///< The target did not answer in the time that this takes several times over.
-    NoCapacity, ///< All targets are full.
-    CrashesTargets, ///< Several targets ended while the same work ran there.
-    TargetLeaving, ///< The target that was chosen must get nothing more: it leaves, or its entry is gone.
-    TargetsCoolingDown, ///< All targets that the request may go to asked this daemon for a cooldown.
-    TargetsLimited, ///< All targets that the request may go to have got what they take from this daemon for now.
-    DomainsEvacuated, ///< The operator asks that the target's failure domain, or those of all targets, get nothing.
-    LifeOver, ///< The target, or an engine that its answer needs, was replaced by a later life.
+    StaleConfiguration, ///< The configuration may be outdated, so that the validity of keys and routes is unknown.
+    TargetSilent, ///< The target did not answer within several times the usual answer time.
+    NoCapacity, ///< All targets are at capacity.
+    CrashesTargets, ///< Several targets terminated while they ran the same request.
+    TargetLeaving, ///< The chosen target must not get requests any more: it is leaving, or its entry was removed.
+    TargetsCoolingDown, ///< All eligible targets asked this daemon for a cooldown.
+    TargetsLimited, ///< All eligible targets are at their current request limit for this daemon.
+    DomainsEvacuated, ///< The operator evacuated the failure domain of the target, or of all targets.
+    LifeOver, ///< The target, or an engine that its answer needs, was replaced by a later incarnation.
 };
 
 template<>
@@ -105,14 +105,14 @@
     };
 };
 
-/// \brief What a caller may conclude about an attempt or a whole request.
-// Counters by reason are arrays of the table's size.
+// Counters by reason are arrays of the table's size, indexed by enumerator.
 static_assert(static_cast<std::size_t>(Reason::LifeOver) + 1 == EnumNames<Reason>::table.size(),
               "every reason has a name, in the order of their declaration");
 
+/// \brief Whether an attempt or a whole request may have run.
 enum class Outcome
 {
-    NotRun, ///< No target began the work: it is safe to send the request again.
+    NotRun, ///< No target started the work: it is safe to send the request again.
     Completed, ///< The whole answer was received.
     MayHaveRun, ///< A target may have done some or all of the work.
 };
--- a/include/spurlug/core/rendezvous.h
+++ b/include/spurlug/core/rendezvous.h
@@ -13,24 +13,24 @@
 namespace spurlug::core
 {
 
-/// \brief Weight of `node` for `item`: the node with the highest weight holds the item.
+/// \brief Weight of `node` for `item`; the node with the highest weight owns the item.
 [[nodiscard]] std::uint64_t rendezvousWeight(std::string_view item, std::string_view node) noexcept;
 
-/// \brief Orders nodes by their weight for an item, highest first.
+/// \brief Sorts nodes by their weight for an item, highest first.
 ///
-/// A node that joins or leaves moves only the items it holds itself.
+/// When a node joins or leaves, only the items that it owns move.
 /// \code
-/// auto holders = rankByRendezvous("target:engine-7", {"vm-1", "vm-2", "vm-3"});
-/// bool mine = holders.front() == "vm-2";
+/// auto owners = rankByRendezvous("target:engine-7", {"vm-1", "vm-2", "vm-3"});
+/// bool isOwner = owners.front() == "vm-2";
 /// \endcode
 [[nodiscard]] std::vector<std::string> rankByRendezvous(std::string_view item, std::vector<std::string> nodes);
 
-/// \brief Shares items out over nodes by rendezvous hashing, none getting more than `most`.
+/// \brief Distributes items over nodes by rendezvous hashing, at most `most` to each node.
 ///
-/// An item goes to the node with the highest weight that has room; every caller with the same items and nodes comes to
-/// the same result. A node that joins or leaves moves its own items and few others.
-/// \param most Raised as far as it takes to give every item a node.
-/// \returns The node of each item; empty when there is no node.
+/// An item goes to the node with the highest weight among those below the limit; the result depends only on the items,
+/// the nodes and the limit. When a node joins or leaves, its own items and few others move.
+/// \param most Items per node; raised when necessary to place every item.
+/// \returns The node of each item; empty when there are no nodes.
 [[nodiscard]] std::map<std::string, std::string> shareOut(const std::vector<std::string> &items,
                                                           const std::vector<std::string> &nodes, std::size_t most);
 
--- a/include/spurlug/core/text.h
+++ b/include/spurlug/core/text.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: joining and reading text
+// spurlug: text concatenation, comparison and number parsing
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -24,7 +24,7 @@
     return piece;
 }
 
-/// Debian's Abseil has a string_view type of its own.
+/// Debian's build of Abseil has its own string_view type.
 [[nodiscard]] inline absl::string_view toAbsl(const std::string_view &piece) noexcept
 {
     return {piece.data(), piece.size()};
@@ -33,7 +33,7 @@
 } // namespace detail
 /// \endcond
 
-/// \brief Joins texts and numbers.
+/// \brief Concatenates texts and numbers.
 /// \code
 /// cat("status ", 503)
 /// \endcode
@@ -43,15 +43,15 @@
     return absl::StrCat(detail::toAbsl(pieces)...);
 }
 
-/// \brief Adds texts and numbers to the end of a text.
+/// \brief Appends texts and numbers to a text.
 template<typename... Pieces>
 void append(std::string &text, const Pieces &...pieces)
 {
     absl::StrAppend(&text, detail::toAbsl(pieces)...);
 }
 
-/// \brief Reads a whole decimal integer.
-/// \returns False, leaving `value` as it was, when the text is anything else.
+/// \brief Parses a text that is one decimal integer.
+/// \returns False, with `value` unchanged, when the text is anything else.
 template<typename Integer>
 [[nodiscard]] bool readNumber(std::string_view text, Integer &value) noexcept
 {
@@ -64,7 +64,7 @@
     return true;
 }
 
-/// \brief Compares texts; upper and lower case of ASCII letters are the same.
+/// \brief Compares texts, ignoring the case of ASCII letters.
 [[nodiscard]] inline bool equalIgnoringCase(std::string_view left, std::string_view right) noexcept
 {
     return absl::EqualsIgnoreCase(detail::toAbsl(left), detail::toAbsl(right));
--- a/include/spurlug/core/time.h
+++ b/include/spurlug/core/time.h
@@ -10,19 +10,18 @@
 namespace spurlug::core
 {
 
-/// \brief A point in time. Deciding code takes it as an argument and never reads a clock.
+/// \brief A point in time. Code that makes decisions takes it as an argument and never reads a clock.
 using Time = absl::Time;
 
-/// \brief A span of time.
 using Duration = absl::Duration;
 
-/// \brief The present time of this VM, counted from its start (CLOCK_BOOTTIME).
+/// \brief The current time of this VM, since its boot (CLOCK_BOOTTIME).
 ///
-/// The clock goes on while the VM is suspended, so that a lease does not look young after a pause. It is not comparable
-/// between VMs: messages carry ages, never points in time.
+/// The clock keeps running while the VM is suspended, so that a lease does not seem younger than it is after a pause.
+/// It is not comparable between VMs: messages carry ages, never points in time.
 [[nodiscard]] Time now() noexcept;
 
-/// \brief Whole milliseconds of a duration, rounded towards zero.
+/// \brief Converts a duration to whole milliseconds, rounded towards zero.
 [[nodiscard]] inline std::int64_t toMs(Duration span) noexcept
 {
     return absl::ToInt64Milliseconds(span);
--- a/include/spurlug/core/worker_pool.h
+++ b/include/spurlug/core/worker_pool.h
@@ -15,7 +15,7 @@
 namespace spurlug::core
 {
 
-/// \brief A pool that starts threads when work finds none idle, up to a bound, and keeps them.
+/// \brief A pool that starts threads on demand, up to a limit, and keeps them.
 ///
 /// \code
 /// WorkerPool pool(64, 128);
@@ -26,22 +26,22 @@
 public:
     using Task = std::function<void()>;
 
-    /// \param maxThreads Most threads at once.
-    /// \param maxQueued Most tasks that wait while all threads are busy.
+    /// \param maxThreads Maximum number of threads.
+    /// \param maxQueued Maximum number of queued tasks while all threads are busy.
     WorkerPool(std::size_t maxThreads, std::size_t maxQueued);
-    /// \brief Runs what is queued, then joins the threads.
+    /// \brief Runs the queued tasks, then joins the threads.
     ~WorkerPool();
     WorkerPool(const WorkerPool &) = delete;
     WorkerPool &operator=(const WorkerPool &) = delete;
 
     /// \brief Queues a task.
-    /// \returns False, without taking the task, when threads and queue are full or the pool is stopping.
+    /// \returns False, without accepting the task, when all threads and the queue are full or the pool is stopping.
     [[nodiscard]] bool tryRun(Task task) ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Waits for a place, then queues the task.
+    /// \brief Waits until the queue has room, then queues the task.
     void run(Task task) ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Takes no more tasks, runs those queued and joins the threads. May be called twice.
+    /// \brief Stops accepting tasks, runs the queued ones and joins the threads. May be called more than once.
     void stop() ABSL_LOCKS_EXCLUDED(m_mutex);
 
     [[nodiscard]] std::size_t busyThreads() const ABSL_LOCKS_EXCLUDED(m_mutex);
--- a/include/spurlug/explain/decision_ring.h
+++ b/include/spurlug/explain/decision_ring.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the latest decisions, kept for questions
+// spurlug: ring buffer of the latest routing decisions
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -24,21 +24,21 @@
 /// \brief One attempt of a recorded request.
 struct AttemptRecord
 {
-    std::vector<routing::Candidate> candidates; ///< All that were considered.
-    std::vector<std::string> chosen; ///< One target, or a group.
-    core::Duration at; ///< Since the request arrived.
+    std::vector<routing::Candidate> candidates; ///< All candidates that were considered.
+    std::vector<std::string> chosen; ///< The chosen target, or the targets of the chosen group.
+    core::Duration at; ///< Time since the request arrived.
     core::Outcome outcome = core::Outcome::NotRun;
     core::Reason reason = core::Reason::None;
     std::string detail;
 };
 
-/// \brief Why a request was served the way it was.
+/// \brief Record of how and why a request was routed.
 struct Decision
 {
     std::string requestId;
     std::string organisation;
     std::string requestClass;
-    std::string route; ///< Model or service.
+    std::string route; ///< Name of the model or service.
     std::int64_t generation = 0;
     std::int64_t tokens = 0; ///< Estimated prompt tokens.
     int engines = 1;
@@ -51,20 +51,22 @@
     core::Reason reason = core::Reason::None;
 };
 
-/// \brief A decision as `spurlugctl explain` shows it; times in milliseconds.
+/// \brief Converts a decision to the form shown by `spurlugctl explain`; times are in milliseconds.
 [[nodiscard]] nlohmann::ordered_json toJson(const Decision &decision);
 
-/// \brief Keeps the latest decisions, the oldest dropped first. Safe to use from several threads.
+/// \brief Keeps the latest decisions and drops the oldest first. Thread-safe.
 class DecisionRing
 {
 public:
+    /// \param capacity Maximum number of decisions kept.
     explicit DecisionRing(std::size_t capacity);
 
     void add(Decision decision) ABSL_LOCKS_EXCLUDED(m_mutex);
 
+    /// \brief The decision for a request; nothing when it is not kept.
     [[nodiscard]] std::optional<Decision> find(const std::string &requestId) const ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// \brief Decisions after number `after`, oldest first, at most `most`, and the number of the last one.
+    /// \brief At most `most` decisions after number `after`, oldest first, and the number of the last one.
     [[nodiscard]] std::pair<std::vector<Decision>, std::uint64_t> since(std::uint64_t after, std::size_t most) const
         ABSL_LOCKS_EXCLUDED(m_mutex);
 
--- a/include/spurlug/metrics/metrics.h
+++ b/include/spurlug/metrics/metrics.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: counters, gauges and quantiles of one daemon
+// spurlug: counters, gauges and timers of a daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -20,7 +20,7 @@
 namespace spurlug::metrics
 {
 
-/// \brief What the daemon counts, beside the reasons.
+/// \brief Counters of the daemon, in addition to those by reason.
 enum class Counter
 {
     RequestsAdmitted,
@@ -47,40 +47,40 @@
     WorkReportsSent,
     WorkReportsTaken,
     AsksSent,
-    AsksQueued, ///< At this daemon as the scheduler: no engine was free for them at once.
-    PlacementsGranted, ///< By this daemon as the scheduler.
+    AsksQueued, ///< Placement requests that waited at this daemon's scheduler for a free engine.
+    PlacementsGranted, ///< Placements granted by this daemon's scheduler.
     DecidedAlone, ///< Prompts placed by this daemon without a scheduler.
     SchedulersSuspected, ///< Schedulers that did not answer.
     RolesTaken,
     RolesLost,
-    RepeatsByRatio, ///< Sends beyond the first of a request, charged to this daemon's own requests.
-    RepeatsBySlack, ///< Charged to this daemon's part of the fleet's slack.
-    RepeatsRefused, ///< Not sent: this daemon's part of both was spent.
-    TargetsRestarted, ///< Later lives under ids that were known.
-    TargetsEndedUnderWork, ///< Requests of this daemon under which a target ended, by target.
-    WorkQuarantined, ///< Pieces of work that came to be sent no more, as this daemon learnt.
-    QuarantinesLifted, ///< Of these, the ones that ran well after all.
-    QuarantineTrials, ///< Quarantined requests that were sent to see whether they still end their target.
-    CrashNewsSent, ///< Datagrams to other daemons on work that ends targets.
-    TargetEntriesUnusable, ///< Entries of targets that came to be unreadable or of a wrong form.
-    LeavingTold, ///< Answers in which a target said that it ends soon.
-    CooldownsAsked, ///< Answers in which a target asked for time without requests of this daemon.
-    RetryAfterUnreadable, ///< Answers in which it asked for a time that is none.
-    DirectoryRestored, ///< Times that the directory came back from an older copy of itself, for each thing read there.
-    RateLimitsTold, ///< Answers in which a target named the rate that it takes from the whole fleet.
-    RateLimitUnreadable, ///< Answers in which it named a rate that is none.
-    ColdUnreadable, ///< Answers in which a target told a time of slowness that is none.
-    ColdStarts, ///< Times that a target came to be slow, as this daemon learnt.
-    EvacuationsHeard, ///< Failure domains that were evacuated or taken back, as this daemon learnt.
-    LivesOver, ///< Lives of targets that were known to be over before their entries said so.
+    RepeatsByRatio, ///< Retries charged to the share for this daemon's own requests.
+    RepeatsBySlack, ///< Retries charged to this daemon's part of the fleet's slack.
+    RepeatsRefused, ///< Retries not sent because this daemon's part of both was spent.
+    TargetsRestarted, ///< New incarnations of targets with a known id.
+    TargetsEndedUnderWork, ///< Times that a target crashed while it ran a request of this daemon.
+    WorkQuarantined, ///< Kinds of work that this daemon learnt must not be sent any more.
+    QuarantinesLifted, ///< Quarantines that ended because the work succeeded after all.
+    QuarantineTrials, ///< Quarantined requests that were sent to test whether they still crash their target.
+    CrashNewsSent, ///< Datagrams to other daemons about work that crashes targets.
+    TargetEntriesUnusable, ///< Times that a new fault was found in a target's entry.
+    LeavingTold, ///< Answers in which a target announced that it is leaving.
+    CooldownsAsked, ///< Answers in which a target asked this daemon for a cooldown.
+    RetryAfterUnreadable, ///< Answers with a malformed retry time.
+    DirectoryRestored, ///< Times that the directory was restored from an older copy, for each list read from it.
+    RateLimitsTold, ///< Answers in which a target reported its rate limit for the whole fleet.
+    RateLimitUnreadable, ///< Answers with a malformed rate limit.
+    ColdUnreadable, ///< Answers with a malformed warm-up time.
+    ColdStarts, ///< Times that this daemon learnt that a target warms up.
+    EvacuationsHeard, ///< Evacuations of failure domains that this daemon learnt to have started or ended.
+    LivesOver, ///< Target incarnations known to have ended before their entries said so.
 };
 
-/// \brief What the daemon times; seconds.
+/// \brief Timers of the daemon; exported in seconds.
 enum class Timer
 {
     FirstToken1k, ///< Time to first token of prompts below 4,000 tokens.
-    FirstToken4k, ///< From 4,000 tokens.
-    FirstToken16k, ///< From 16,000 tokens.
+    FirstToken4k, ///< From 4,000 tokens up to 16,000.
+    FirstToken16k, ///< From 16,000 tokens up to 100,000.
     FirstToken100k, ///< From 100,000 tokens.
     RouteDecision,
     GrantWait,
@@ -170,11 +170,10 @@
 namespace spurlug::metrics
 {
 
-/// \brief Timer of the first token of a prompt.
-/// \param tokens Length of the prompt.
+/// \brief Timer for the time to first token of a prompt of `tokens` tokens.
 [[nodiscard]] Timer firstTokenTimer(std::int64_t tokens) noexcept;
 
-/// \brief All metrics of one daemon. Safe to use from several threads.
+/// \brief All metrics of one daemon. Thread-safe.
 class Metrics
 {
 public:
@@ -185,15 +184,17 @@
 
     /// \name Commands
     /// @{
+    /// \brief Adds `by` to a counter.
     void count(Counter counter, std::int64_t by = 1) noexcept;
-    /// \brief Counts a request that was refused before any target began.
+    /// \brief Counts a request that was refused before any target started it.
     void countRefusal(core::Reason reason) noexcept;
-    /// \brief Counts a retry by the reason of the attempt that failed.
+    /// \brief Counts a retry by the reason why the previous attempt failed.
     void countRetry(core::Reason reason) noexcept;
     /// \brief Counts the end of an admitted request.
     void countEnd(core::Outcome outcome, core::Reason reason) noexcept;
+    /// \brief Adds a sample to a timer.
     void time(Timer timer, core::Duration span) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// \brief Sets a gauge; `name` in snake_case.
+    /// \brief Sets a gauge; `name` is in snake_case.
     void gauge(const std::string &name, double value) ABSL_LOCKS_EXCLUDED(m_mutex);
     /// @}
 
@@ -202,7 +203,7 @@
     [[nodiscard]] std::int64_t value(Counter counter) const noexcept;
     [[nodiscard]] std::int64_t refusals(core::Reason reason) const noexcept;
     [[nodiscard]] std::int64_t retries(core::Reason reason) const noexcept;
-    /// \brief Everything, in Prometheus' text format.
+    /// \brief All metrics in the Prometheus text format.
     [[nodiscard]] std::string prometheusText() const ABSL_LOCKS_EXCLUDED(m_mutex);
     /// @}
 
--- a/include/spurlug/net/client_connection.h
+++ b/include/spurlug/net/client_connection.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one HTTP/1.1 exchange with a server
+// spurlug: HTTP/1.1 client connection
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -17,24 +17,24 @@
 namespace spurlug::net
 {
 
-/// \brief Some bytes of a body.
+/// \brief A piece of a body.
 struct BodyPiece
 {
     enum class State
     {
         More, ///< More follows.
-        Complete, ///< The body ended as its framing says.
-        Broken, ///< The connection failed before that.
+        Complete, ///< The body is complete according to its framing.
+        Broken, ///< The connection failed before the end of the body.
     };
 
     std::string bytes;
     State state = State::More;
 };
 
-/// \brief A connection for one request and its response, or for several one after the other.
+/// \brief A connection for one or more requests and their responses, one at a time.
 ///
-/// The request is sent while the response is awaited: a server may answer before it has read a long body. `abort` ends
-/// whatever is awaited.
+/// The request is sent while the response is awaited, because a server may answer before it has read a long body.
+/// `abort` cancels the pending operation.
 class ClientConnection : public core::Counted<ClientConnection>
 {
 public:
@@ -43,42 +43,42 @@
     ClientConnection(const ClientConnection &) = delete;
     ClientConnection &operator=(const ClientConnection &) = delete;
 
-    /// \brief Connects.
-    /// \returns Empty when connected, else what went wrong. Nothing was sent then.
+    /// \brief Connects to a server.
+    /// \returns Empty on success, otherwise the error; nothing was sent in that case.
     [[nodiscard]] Task<std::string> connect(core::Address address, core::Duration timeout);
 
-    /// \brief Begins to send a request; `readHead` awaits its response.
+    /// \brief Starts to send a request; `readHead` awaits its response.
     void startSend(const Request &request);
 
-    /// \brief Awaits the head of the response; interim responses (1xx) are passed over.
-    /// \returns Nothing when the connection failed, the bytes are no response, or the deadline passed.
+    /// \brief Awaits the head of the response; interim responses (1xx) are skipped.
+    /// \returns Nothing when the connection failed, the response is malformed, or the deadline passed.
     [[nodiscard]] Task<std::optional<ResponseHead>> readHead(core::Time deadline);
 
-    /// \brief Awaits some of the body.
+    /// \brief Awaits the next piece of the body.
     [[nodiscard]] Task<BodyPiece> readBody(core::Time deadline);
 
-    /// \brief Whether the connection can take another request: the response ended by its framing, the request was sent
-    /// whole, no byte followed and neither side wants to close.
+    /// \brief Whether the connection can be used for another request: the request was sent completely, the response is
+    /// complete by its framing, no byte followed it and the server keeps the connection open.
     [[nodiscard]] bool reusable() const;
 
-    /// \brief Whether the last `connect` was refused: the host lives, and nothing listens there.
+    /// \brief Whether the last `connect` was refused: the host is up, but nothing listens on the port.
     [[nodiscard]] bool refused() const noexcept;
 
-    /// \brief What went wrong last, for logs.
+    /// \brief The last error, for logs.
     [[nodiscard]] const std::string &problem() const noexcept;
 
-    /// \brief Ends the connection at once.
+    /// \brief Closes the connection at once.
     void abort();
 
 private:
     struct Impl;
-    std::shared_ptr<Impl> m_impl; ///< Shared with handlers that may run after this object's end.
+    std::shared_ptr<Impl> m_impl; ///< Shared with handlers that may run after this object is destroyed.
 };
 
-/// \brief Sends a request over a connection of its own and awaits the whole response.
-/// \param deadline For everything.
-/// \param problem Set when there is no response.
-/// \returns Nothing when the response did not arrive whole.
+/// \brief Sends a request over a new connection and awaits the whole response.
+/// \param deadline Deadline of the whole exchange.
+/// \param problem Set to the error when there is no response; empty otherwise.
+/// \returns Nothing when the response did not arrive completely.
 [[nodiscard]] Task<std::optional<Response>> exchange(Loop &loop, core::Address address, Request request,
                                                      core::Time deadline, std::string &problem);
 
--- a/include/spurlug/net/http_message.h
+++ b/include/spurlug/net/http_message.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: HTTP messages as plain data
+// spurlug: HTTP message types
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -20,15 +20,17 @@
     std::string value;
 };
 
-/// \brief Header fields in the order they came; names are compared without case.
+/// \brief Header fields in the order of arrival; names are case-insensitive.
 class Headers
 {
 public:
     /// \name Commands
     /// @{
+    /// \brief Appends a field.
     void add(std::string_view name, std::string_view value);
-    /// \brief Replaces all fields of that name by one.
+    /// \brief Replaces all fields of that name by one field.
     void set(std::string_view name, std::string_view value);
+    /// \brief Removes all fields of that name.
     void remove(std::string_view name);
     /// @}
 
@@ -38,8 +40,9 @@
     [[nodiscard]] const std::string *find(std::string_view name) const noexcept;
     /// \brief Value of the first field of that name; empty when there is none.
     [[nodiscard]] std::string_view value(std::string_view name) const noexcept;
-    /// \brief Whether a comma-separated field holds `token`, without case.
+    /// \brief Whether a comma-separated field contains `token`, ignoring case.
     [[nodiscard]] bool holdsToken(std::string_view name, std::string_view token) const;
+    /// \brief All fields in order.
     [[nodiscard]] const std::vector<HeaderField> &fields() const noexcept;
     /// @}
 
@@ -47,23 +50,23 @@
     std::vector<HeaderField> m_fields;
 };
 
-/// \brief A whole request.
+/// \brief A complete request.
 struct Request
 {
     std::string method;
-    std::string target; ///< Path and query as they were sent.
+    std::string target; ///< Path and query as sent.
     Headers headers;
     std::string body;
-    bool hasBody = false; ///< False for a request without length and chunks.
-    bool keepAlive = true; ///< Whether the sender keeps the connection for more requests.
+    bool hasBody = false; ///< False for a request with neither a length nor chunks.
+    bool keepAlive = true; ///< Whether the sender keeps the connection open for more requests.
 };
 
-/// \brief How the end of a response's body is known.
+/// \brief How the end of a response's body is determined.
 enum class BodyFraming
 {
-    Sized, ///< By its length, none included.
+    Sized, ///< By its length, also when there is no body.
     Chunked,
-    UntilClose, ///< By the end of the connection.
+    UntilClose, ///< By the closing of the connection.
 };
 
 /// \brief Status line and header fields of a response.
@@ -73,17 +76,17 @@
     std::string phrase; ///< Reason phrase; may be empty.
     Headers headers;
     BodyFraming framing = BodyFraming::Sized;
-    std::optional<std::uint64_t> length; ///< Bytes of the body, where it is sized.
+    std::optional<std::uint64_t> length; ///< Length of a sized body, in bytes.
 };
 
-/// \brief A whole response.
+/// \brief A complete response.
 struct Response
 {
     ResponseHead head;
     std::string body;
 };
 
-/// \brief Whether a header field concerns one connection only (RFC 9110, 7.6.1) and is not passed on.
+/// \brief Whether a header field applies to one connection only (RFC 9110, 7.6.1) and is not forwarded.
 [[nodiscard]] bool isHopByHop(const Headers &headers, std::string_view name);
 
 } // namespace spurlug::net
--- a/include/spurlug/net/io.h
+++ b/include/spurlug/net/io.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: names for the event loop and its coroutines
+// spurlug: event loop, coroutine and timer types
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -25,17 +25,19 @@
 template<typename T = void>
 using Task = asio::awaitable<T>;
 
-/// \brief Runs every coroutine of the daemon. One thread runs it: what the coroutines share needs no lock.
+/// \brief The event loop that runs every coroutine of the daemon. It runs on one thread, so that state shared by
+/// coroutines needs no lock.
 using Loop = asio::io_context;
 
 /// \brief Awaits an operation and returns its error code instead of throwing it.
 inline constexpr auto Awaited = asio::as_tuple(asio::use_awaitable);
 
-/// \brief The clock of `core::now` in the form that Asio's timers take.
+/// \brief The clock of `core::now` as a clock type for Asio's timers.
 ///
-/// The steady clock stands still while a VM is suspended: a deadline that passed meanwhile would be waited for once
-/// more, by all that was left of it, 15 s of a long prompt's. With this clock what is overdue runs with the first timer
-/// that goes off after the VM wakes, within 100 ms: the looks at roles and sources are no further apart.
+/// The steady clock stops while a VM is suspended: the loop would wait again for all the time that was left of a
+/// deadline that passed meanwhile, which is 15 s for a long prompt. With this clock, overdue timers fire together with
+/// the first timer that expires after the VM resumes. That is within 100 ms, because the periodic checks of roles and
+/// sources are at most that far apart.
 struct BootClock
 {
     using duration = std::chrono::nanoseconds;
@@ -50,17 +52,17 @@
     }
 };
 
-/// \brief A timer that does not stand still while the VM is suspended.
+/// \brief A timer whose clock keeps running while the VM is suspended.
 using Timer = asio::basic_waitable_timer<BootClock>;
 
-/// \brief A span as the timers of the loop take it.
+/// \brief Converts a duration for the timers of the loop.
 [[nodiscard]] inline std::chrono::nanoseconds timerSpan(core::Duration span) noexcept
 {
-    constexpr auto Longest = absl::Hours(1); // Infinite and very long waits are waited for in pieces.
+    constexpr auto Longest = absl::Hours(1); // Longer and infinite waits end early; Mailbox::take repeats them.
     return absl::ToChronoNanoseconds(std::min(span, core::Duration(Longest)));
 }
 
-/// \brief Suspends the calling coroutine.
+/// \brief Suspends the calling coroutine for `span`, at most for one hour.
 [[nodiscard]] inline Task<> sleepFor(core::Duration span)
 {
     Timer timer(co_await asio::this_coro::executor, timerSpan(span));
--- a/include/spurlug/net/listener.h
+++ b/include/spurlug/net/listener.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: accepts TCP connections
+// spurlug: listener for TCP connections
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,7 +13,7 @@
 namespace spurlug::net
 {
 
-/// \brief Listens on an address and hands over each connection.
+/// \brief Listens on an address and passes each accepted connection to a callback.
 class Listener
 {
 public:
@@ -21,11 +21,13 @@
     /// \throws NetworkError when the address cannot be bound.
     Listener(Loop &loop, const core::Address &address);
 
-    /// \brief Accepts until `stop`; waits a little when descriptors run out.
+    /// \brief Accepts connections until `stop`; pauses briefly after an error, such as a lack of descriptors.
     [[nodiscard]] Task<> run(std::function<void(asio::ip::tcp::socket)> accepted);
 
+    /// \brief Stops listening.
     void stop();
 
+    /// \brief The bound address, with the port that the kernel chose.
     [[nodiscard]] const core::Address &address() const noexcept;
 
 private:
--- a/include/spurlug/net/mailbox.h
+++ b/include/spurlug/net/mailbox.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: messages to one coroutine
+// spurlug: message queue for one coroutine
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,7 +14,7 @@
 namespace spurlug::net
 {
 
-/// \brief A queue that one coroutine waits on. Used on the loop's thread only.
+/// \brief A message queue with one reading coroutine. Only for use on the loop's thread.
 template<typename Message>
 class Mailbox
 {
@@ -30,7 +30,7 @@
         m_timer.cancel();
     }
 
-    /// \brief Takes the next message, waiting until `deadline` at most.
+    /// \brief Takes the next message; waits for it until `deadline`.
     /// \returns Nothing when the deadline passed first.
     [[nodiscard]] Task<std::optional<Message>> take(core::Time deadline)
     {
@@ -47,7 +47,7 @@
         co_return message;
     }
 
-    /// \brief Messages that wait.
+    /// \brief Number of queued messages.
     [[nodiscard]] std::size_t size() const noexcept
     {
         return m_messages.size();
--- a/include/spurlug/net/server_connection.h
+++ b/include/spurlug/net/server_connection.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one HTTP/1.1 connection of a caller
+// spurlug: HTTP/1.1 server connection to a caller
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -18,13 +18,13 @@
 namespace spurlug::net
 {
 
-/// \brief What a caller may send, and how long it may take.
+/// \brief Size limits and timeouts for reading a request.
 struct ReadLimits
 {
     std::size_t headBytes = 16 << 10; ///< Request line and header fields.
     std::size_t bodyBytes = 4 << 20;
     core::Duration headTimeout = absl::Seconds(5); ///< From a request's first byte to the end of its head.
-    core::Duration bodyTimeout = absl::Seconds(30); ///< From there to the end of its body.
+    core::Duration bodyTimeout = absl::Seconds(30); ///< From the end of the head to the end of the body.
     core::Duration idleTimeout = absl::Seconds(60); ///< Between requests.
 };
 
@@ -33,26 +33,26 @@
 {
     None,
     Closed, ///< The caller closed or reset the connection.
-    Idle, ///< No request came within the idle timeout.
+    Idle, ///< No request arrived within the idle timeout.
     Malformed,
     HeadTooLarge,
     BodyTooLarge,
-    TooSlow, ///< A head or body did not end in time.
+    TooSlow, ///< A head or body was not complete within its timeout.
 };
 
-/// \brief A request, or why there is none.
+/// \brief A request, or the reason why there is none.
 struct ReadResult
 {
     std::optional<Request> request;
     ReadEnd end = ReadEnd::None;
-    std::string detail; ///< The parser's words, for logs.
-    core::Time firstByteAt; ///< When the request began to arrive.
+    std::string detail; ///< Error message of the parser, for logs.
+    core::Time firstByteAt; ///< Arrival of the first byte of the request.
 };
 
 /// \brief Reads requests and writes responses, one at a time.
 ///
-/// Writes return false once the connection is lost. Every write is given up at its deadline: the connection is reset
-/// then, so that the caller cannot mistake a cut answer for a whole one.
+/// Writes return false once the connection is lost. A write that misses its deadline resets the connection, so that the
+/// caller cannot mistake a truncated answer for a complete one.
 class ServerConnection : public core::Counted<ServerConnection>
 {
 public:
@@ -61,26 +61,29 @@
     ServerConnection(const ServerConnection &) = delete;
     ServerConnection &operator=(const ServerConnection &) = delete;
 
+    /// \brief Awaits the next request.
     [[nodiscard]] Task<ReadResult> read(ReadLimits limits);
 
-    /// \brief Writes a whole response with its length.
+    /// \brief Writes a complete response with its length.
     [[nodiscard]] Task<bool> write(Response response, bool keepAlive, core::Time deadline);
-    /// \brief Writes the head of a response whose body follows in chunks.
+    /// \brief Writes the head of a response with a chunked body.
     [[nodiscard]] Task<bool> writeHead(ResponseHead head, bool keepAlive, core::Time deadline);
+    /// \brief Writes one chunk of the body.
     [[nodiscard]] Task<bool> writeChunk(std::string bytes, core::Time deadline);
-    /// \brief Ends a body that was written in chunks.
+    /// \brief Writes the last, empty chunk of the body.
     [[nodiscard]] Task<bool> writeEnd(core::Time deadline);
 
     /// \brief Calls `gone` once if the caller closes the connection before `stopWatching`.
     void watch(std::function<void()> gone);
+    /// \brief Stops watching the connection; `gone` is not called any more.
     void stopWatching();
 
-    /// \brief Ends the connection after what was written.
+    /// \brief Closes the connection; data already written is still delivered.
     void close();
-    /// \brief Waits a moment for the caller to take a last answer in, then ends the connection: without this, bytes
-    /// that were not read would make the system reset it.
+    /// \brief Discards what the caller still sends for a short time, then closes the connection. Without this, unread
+    /// bytes would make the system reset the connection before the caller has received the last answer.
     [[nodiscard]] Task<> closeGently();
-    /// \brief Resets the connection: what was not delivered is lost, and the caller knows.
+    /// \brief Resets the connection: undelivered data is lost, and the caller sees an error.
     void reset();
 
     /// \brief The caller's address, for logs.
@@ -88,7 +91,7 @@
 
 private:
     struct Impl;
-    std::shared_ptr<Impl> m_impl; ///< Shared with handlers that may run after this object's end.
+    std::shared_ptr<Impl> m_impl; ///< Shared with handlers that may run after this object is destroyed.
 };
 
 } // namespace spurlug::net
--- a/include/spurlug/objects/object_api.h
+++ b/include/spurlug/objects/object_api.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: client of the platform's object API and VM list
+// spurlug: client for the platform's object API and VM list
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,14 +16,14 @@
 namespace spurlug::objects
 {
 
-/// \brief A stored value and its version; versions of one object only go up.
+/// \brief A stored value and its version; the version of an object only increases.
 struct Object
 {
     std::string value;
     std::int64_t version = 0;
 };
 
-/// \brief What the VM list says of one VM.
+/// \brief Entry of one VM in the VM list.
 struct VmEntry
 {
     std::string id;
@@ -32,7 +32,7 @@
     bool leaving = false;
 };
 
-/// \brief What spurlug needs of an object API; tests bring their own.
+/// \brief Object API operations that spurlug needs; tests provide their own implementation.
 template<typename Api>
 concept ObjectApi
     = requires(Api api, const std::string &name, const std::string &value, std::int64_t version, core::Duration wait)
@@ -48,41 +48,41 @@
         } -> std::same_as<std::int64_t>;
 };
 
-/// \brief The object API over HTTP. Safe to use from several threads.
+/// \brief Object API client over HTTP. Thread-safe.
 class HttpObjectApi
 {
 public:
     /// \param addresses Platform addresses, tried in order on each call.
-    /// \param timeout Longest time of one call, a watch's wait not counted.
+    /// \param timeout Timeout of one call, in addition to the wait of a watch.
     explicit HttpObjectApi(std::vector<core::Address> addresses, core::Duration timeout = absl::Seconds(2));
 
-    /// \brief Reads an object. One read call.
+    /// \brief Reads an object. This is one read call.
     /// \returns Nothing when there is no such object.
     /// \throws PlatformUnavailable
     [[nodiscard]] std::optional<Object> read(const std::string &name) const;
 
-    /// \brief Waits until an object's version is above `version`. One read call, however long it waits.
-    /// \returns Nothing when `wait` passed without a change.
+    /// \brief Waits until an object's version is above `version`. This is one read call, whatever the wait.
+    /// \returns Nothing when `wait` elapsed without a change.
     /// \throws PlatformUnavailable
     [[nodiscard]] std::optional<Object> waitForChange(const std::string &name, std::int64_t version,
                                                       core::Duration wait) const;
 
-    /// \brief Stores a value if the object still has `version` (0: does not exist). One write call.
+    /// \brief Stores a value if the object still has `version` (0: does not exist). This is one write call.
     /// \returns The new version.
     /// \throws VersionConflict when it has another version; nothing changed.
     /// \throws PlatformUnavailable when nothing changed.
-    /// \throws UnknownResult when the answer was lost: read the object to find out.
+    /// \throws UnknownResult when the answer was lost; read the object to find out the result.
     std::int64_t update(const std::string &name, const std::string &value, std::int64_t version) const;
 
-    /// \brief Names of the objects below a prefix. One read call.
+    /// \brief Names of the objects with a prefix. This is one read call.
     /// \throws PlatformUnavailable
     [[nodiscard]] std::vector<std::string> list(const std::string &prefix) const;
 
-    /// \brief Removes an object if it still has `version`. One write call.
+    /// \brief Removes an object if it still has `version`. This is one write call.
     /// \throws VersionConflict, PlatformUnavailable, UnknownResult
     void remove(const std::string &name, std::int64_t version) const;
 
-    /// \brief The VM list, which lags behind the truth. One read call.
+    /// \brief Reads the VM list, which may be outdated. This is one read call.
     /// \throws PlatformUnavailable
     [[nodiscard]] std::vector<VmEntry> vms() const;
 
--- a/include/spurlug/report/counts.h
+++ b/include/spurlug/report/counts.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: numbers by name, as reports print them
+// spurlug: named counts and their text form in reports
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -11,10 +11,10 @@
 namespace spurlug::report
 {
 
-/// \brief How often something happened, by its name.
+/// \brief Number of occurrences by name.
 using Counts = std::map<std::string, std::int64_t>;
 
-/// \brief " NAME COUNT" for each, on one line.
+/// \brief Formats all counts on one line, each as " NAME COUNT".
 [[nodiscard]] std::string countsText(const Counts &counts);
 
 } // namespace spurlug::report
--- a/include/spurlug/report/log_line.h
+++ b/include/spurlug/report/log_line.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one line of a daemon's structured log
+// spurlug: parses a line of a daemon's structured log
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,15 +13,17 @@
 namespace spurlug::report
 {
 
-/// \brief The JSON object in a line; whatever stands before it is passed over.
-/// \returns Nothing when there is none.
+/// \brief Parses the JSON object in a line; text before it is ignored.
+/// \returns Nothing when there is no object.
 [[nodiscard]] std::optional<nlohmann::json> objectIn(std::string_view line);
 
-/// \brief When a line was written; the infinite past when it does not say so.
+/// \brief Time at which a line was written; the infinite past when the line has no valid time.
 [[nodiscard]] core::Time timeOf(const nlohmann::json &line);
 
-/// \brief When a line was written by one clock for the whole fleet: the seconds that a collector of logs put at the
-/// begin of the line. Without them, what the line says itself: clocks of daemons may differ by seconds.
+/// \brief Time of a line by one clock for the whole fleet.
+///
+/// This is the time in seconds that a log collector put at the start of the line, because the clocks of daemons may
+/// differ by seconds. A line without it has its own time.
 [[nodiscard]] core::Time collectedAt(std::string_view line, const nlohmann::json &object);
 
 } // namespace spurlug::report
--- a/include/spurlug/report/log_report.h
+++ b/include/spurlug/report/log_report.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what the logs of relaying daemons tell of a span of time
+// spurlug: request statistics from the logs of relay daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -18,43 +18,44 @@
 namespace spurlug::report
 {
 
-/// \brief How the requests fared that arrived on one route within one interval.
+/// \brief Statistics of the requests that arrived on one route within one interval.
 struct RouteFigures
 {
     std::int64_t requests = 0;
-    std::int64_t inTime = 0; ///< Whole, first event within the aim, no pause beyond what counts as in time.
-    std::int64_t lateFirst = 0; ///< Whole, but the first event was late.
-    std::int64_t longPause = 0; ///< Whole and begun in time, but with a pause that was too long.
-    std::int64_t notWhole = 0;
-    Counts ends; ///< Requests that were not whole, by reason.
-    Counts resends; ///< Attempts that failed, by reason.
-    std::vector<double> firstToExpected; ///< Of each whole stream: first event, measured from its sending / expected.
-    std::vector<double> pausesMs; ///< Longest pause of each whole stream.
-    double readMs = 0; ///< Engine time given to reading prompts.
-    double readInVainMs = 0; ///< The part of it that went to requests that were not whole.
+    std::int64_t inTime = 0; ///< Completed within the objectives for the first event and the gaps between events.
+    std::int64_t lateFirst = 0; ///< Completed, but the first event was late.
+    std::int64_t longPause = 0; ///< Completed with the first event in time, but with too long a gap between events.
+    std::int64_t notWhole = 0; ///< Not completed, or answered with a server error.
+    Counts ends; ///< Requests that were not completed, by reason.
+    Counts resends; ///< Failed attempts, by reason.
+    std::vector<double>
+        firstToExpected; ///< Of completed requests with one attempt: time from sending to first event / expected.
+    std::vector<double> pausesMs; ///< Longest gap of each completed request.
+    double readMs = 0; ///< Engine time for prefill.
+    double readInVainMs = 0; ///< The part of `readMs` for requests that were not completed.
 };
 
-/// \brief Adds up structured logs of one or many daemons.
+/// \brief Computes request statistics from the structured logs of one or more daemons.
 class LogReport
 {
 public:
-    /// \param interval Length of the spans that figures are given for.
+    /// \param interval Length of the intervals that figures are grouped by.
     explicit LogReport(core::Duration interval);
 
-    /// \brief Takes one line; whatever stands before its JSON object is passed over, as are lines without one.
+    /// \brief Adds one line; text before its JSON object is ignored, and so are lines without one.
     void add(std::string_view line);
-    /// \brief Takes all lines of a file.
+    /// \brief Adds all lines of a file.
     void addAll(std::istream &lines);
 
-    /// \brief Figures by route and begin of the interval.
+    /// \brief Figures by route and start of the interval.
     [[nodiscard]] std::map<std::string, std::map<core::Time, RouteFigures>> figures() const;
-    /// \brief A table for people: one line a route and interval, the causes below it.
+    /// \brief A human-readable table: one line per route and interval, with the failure reasons below it.
     [[nodiscard]] std::string text() const;
 
 private:
     struct Attempt
     {
-        double waitedMs = 0; ///< From the request's arrival until it was sent.
+        double waitedMs = 0; ///< Time from the arrival of the request until this attempt was sent.
         double expectedMs = 0;
         double readMs = 0;
     };
@@ -62,7 +63,7 @@
     struct Request
     {
         std::vector<Attempt> attempts;
-        std::vector<std::string> failures; ///< Reasons, an attempt each.
+        std::vector<std::string> failures; ///< Reason of each failed attempt.
         core::Time endedAt = absl::InfinitePast();
         std::string route;
         std::string outcome;
@@ -72,7 +73,7 @@
         double totalMs = 0;
         double longestPauseMs = 0;
         double aimMs = 0;
-        double pauseAimMs = 0; ///< 0: pauses do not count.
+        double pauseAimMs = 0; ///< 0: there is no objective for gaps.
     };
 
     static void count(const Request &request, RouteFigures &figures);
@@ -81,7 +82,7 @@
     std::unordered_map<std::string, Request> m_requests;
 };
 
-/// \brief The lines that name a request, in the order of their times: its way through several daemons.
+/// \brief The lines about a request, sorted by time: its path through several daemons.
 [[nodiscard]] std::vector<std::string> linesOf(std::string_view request, std::istream &lines);
 
 } // namespace spurlug::report
--- a/include/spurlug/report/repeat_report.h
+++ b/include/spurlug/report/repeat_report.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: repeated sends of a whole fleet against their bound, from its logs
+// spurlug: a fleet's retries compared with its retry budget, from its logs
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -18,36 +18,38 @@
 namespace spurlug::report
 {
 
-/// \brief The window in which a service came nearest to the bound on repeated sends.
+/// \brief The window in which a service came closest to the fleet-wide retry budget.
 struct RepeatFigures
 {
-    core::Time begin = absl::InfinitePast(); ///< Of the window.
-    std::int64_t repeats = 0; ///< Sends beyond the first of their request, of all daemons.
-    /// Requests of that window, of the one before it, or of the one half a window before it: the most of the three.
+    core::Time begin = absl::InfinitePast(); ///< Start of the window.
+    std::int64_t repeats = 0; ///< Sends of a request after its first one, by all daemons.
+    /// Maximum number of requests in this window, the previous one, and the one that starts half a window earlier.
     std::int64_t requests = 0;
-    double allowed = 0; ///< Repeats.
-    Counts causes; ///< Of the repeats: why the attempt before failed.
-    Counts charges; ///< Of the repeats: what they were charged to.
+    double allowed = 0; ///< Number of retries that the budget allows.
+    Counts causes; ///< Reasons of the retries: why the previous attempt failed.
+    Counts charges; ///< Parts of the budget that the retries were charged to.
 };
 
-/// \brief Sums repeated sends over the logs of all daemons of a fleet. No daemon knows this sum: each keeps to its own
-/// part. The bound is the one that daemons log when they start.
+/// \brief Sums up retries over the logs of all daemons of a fleet.
+///
+/// No daemon knows this sum, because each keeps to its own part of the budget. The budget is read from the line that
+/// daemons log at start.
 class RepeatReport
 {
 public:
-    /// \brief Takes one line; lines that tell nothing of requests or of the bound are passed over.
+    /// \brief Adds one line; lines without data on requests or the budget are ignored.
     void add(std::string_view line);
-    /// \brief Takes all lines of a file.
+    /// \brief Adds all lines of a file.
     void addAll(std::istream &lines);
 
-    /// \brief The window nearest to the bound, by service.
+    /// \brief The window closest to the budget, by service.
     [[nodiscard]] std::map<std::string, RepeatFigures> nearest() const;
-    /// \brief Repeats that daemons did not send for the bound's sake.
+    /// \brief Retries that daemons did not send because the budget was spent.
     [[nodiscard]] std::int64_t refused() const noexcept;
-    /// \brief Lines that daemons left out of their logs and that may have told of requests: the sums are too low by
+    /// \brief Lines that are missing from the daemons' logs and may have been about requests: the sums are too low by
     /// them.
     [[nodiscard]] std::int64_t linesLeftOut() const noexcept;
-    /// \brief A table for people.
+    /// \brief A human-readable table.
     [[nodiscard]] std::string text() const;
 
 private:
@@ -62,7 +64,7 @@
     {
         core::Time arrivedAt = absl::InfiniteFuture();
         std::string service;
-        std::string charge; ///< Of the repeat that was decided last.
+        std::string charge; ///< Charge of the retry that was decided last.
     };
 
     struct Service
@@ -76,7 +78,7 @@
 
     double m_ratio = 0;
     double m_slack = 0;
-    core::Duration m_window = absl::ZeroDuration(); ///< Zero: no daemon told the bound.
+    core::Duration m_window = absl::ZeroDuration(); ///< Zero: no log has the budget.
     std::unordered_map<std::string, Request> m_requests;
     std::map<std::string, std::vector<Repeat>> m_repeats; ///< By service.
     std::int64_t m_refused = 0;
--- a/src/claims/claim_owner.cpp
+++ b/src/claims/claim_owner.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: commits the claims of a failure domain together
+// spurlug: commits the claims of a failure domain in batches
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/claims/claim_shard.cpp
+++ b/src/claims/claim_shard.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: claimed idempotency keys, as one object of the platform holds them
+// spurlug: claimed idempotency keys of one object on the platform
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the fleet's configuration, as operators write it
+// spurlug: the fleet's configuration, as written by operators
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -113,7 +113,7 @@
     return requestClass;
 }
 
-/// Notes a fault when a name stands twice in one list.
+/// Records a fault when a name occurs twice in a list.
 class UniqueNames
 {
 public:
@@ -124,7 +124,7 @@
     void add(const std::string &pointer, const std::string &name)
     {
         if (!m_seen.insert(name).second) {
-            m_faults.push_back({pointer, core::cat("a name of its own ('", name, "' stands twice)")});
+            m_faults.push_back({pointer, core::cat("a unique name ('", name, "' occurs twice)")});
         }
     }
 
--- a/src/config/parts.cpp
+++ b/src/config/parts.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a configuration cut into content-addressed parts and one root
+// spurlug: splits a configuration into content-addressed parts and one root
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/config/route_table.cpp
+++ b/src/config/route_table.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: routes, services and organisations of the relay
+// spurlug: routes, services and organisations of the relay's configuration
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/src/core/line_queue.cpp
+++ b/src/core/line_queue.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: lines on their way to a writer that may stand still
+// spurlug: queue of log lines for a writer that may block
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr auto ExitWait = absl::Milliseconds(300); // For the last lines, when a process ends.
+constexpr auto ExitWait = absl::Milliseconds(300); // Maximum time to write the last lines when a process ends.
 
 } // namespace
 
@@ -37,7 +37,7 @@
     if (done) {
         m_writer.join();
     } else {
-        m_writer.detach(); // It waits in a write that may never end; its state is its own.
+        m_writer.detach(); // The thread is in a write that may never return; it shares ownership of the state.
     }
 }
 
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: structured logs: one JSON object a line on standard output
+// spurlug: structured log: one JSON object per line on standard output
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -24,11 +24,11 @@
 namespace
 {
 
-constexpr std::size_t MostWaitingBytes = 1 << 20; // Some 4,000 lines: seconds of a busy daemon.
+constexpr std::size_t MostWaitingBytes = 1 << 20; // About 4,000 lines: seconds of a busy daemon's output.
 constexpr std::int64_t MostLinesPerSecond
-    = 300; // Of one kind; a daemon's share of the peak is some tens of requests/s.
+    = 300; // For each event; a daemon's share of the peak load is some tens of requests/s.
 
-/// What startLog sets up. Lock order: `mutex` is a leaf.
+/// State of the log, created by startLog. Lock order: no other lock is taken under `mutex`.
 struct Logger
 {
     Logger(std::string_view program, LogLevel lowest)
--- a/src/core/program.cpp
+++ b/src/core/program.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what every program of the project does alike
+// spurlug: exit codes, signals and ports file of all programs
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -54,7 +54,7 @@
         file << addresses.dump() << "\n";
     }
     if (std::rename(temporary.c_str(), path.c_str()) != 0) {
-        throw InvalidDocument(path + ": cannot be written");
+        throw InvalidDocument(path + ": cannot write the ports file");
     }
 }
 
--- a/src/net/beast_convert.h
+++ b/src/net/beast_convert.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: between Beast's messages and our own
+// spurlug: conversion between Beast's messages and net::Headers, and a timeout for Beast operations
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -17,7 +17,7 @@
 namespace spurlug::net
 {
 
-/// \brief Copies header fields, those that describe the framing of the body left out.
+/// \brief Copies header fields, except those that describe the framing of the body.
 inline Headers fromBeast(const boost::beast::http::fields &fields)
 {
     Headers headers;
@@ -41,7 +41,7 @@
     }
 }
 
-/// \brief Runs `onExpiry` unless it is disarmed before.
+/// \brief Calls `onExpiry` after a timeout, unless disarmed before.
 class Expiry
 {
 public:
@@ -60,14 +60,14 @@
     Expiry(const Expiry &) = delete;
     Expiry &operator=(const Expiry &) = delete;
 
-    /// \brief Arms the timer, or moves it.
+    /// \brief Starts or restarts the timeout.
     template<typename Span>
     void arm(Span span)
     {
         m_state->expired = false;
         m_timer.expires_after(span);
         m_timer.async_wait([this, state = m_state, armed = ++m_state->armed](const boost::system::error_code &error) {
-            // A timer that went off in the moment it was disarmed still runs this: only the newest arming counts.
+            // The handler still runs when the timer expires just before it is disarmed: only the latest arming counts.
             if (!error && state->armed == armed) {
                 state->expired = true;
                 m_onExpiry();
@@ -89,12 +89,12 @@
 private:
     struct State
     {
-        std::uint64_t armed = 0; ///< Counts armings and disarmings.
+        std::uint64_t armed = 0; ///< Number of calls to `arm` and `disarm`.
         bool expired = false;
     };
 
     Timer m_timer;
-    std::shared_ptr<State> m_state; ///< Outlives this object in the timer's handler.
+    std::shared_ptr<State> m_state; ///< Shared with the timer's handler, which may run after this object is destroyed.
     std::function<void()> m_onExpiry;
 };
 
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one HTTP/1.1 exchange with a server
+// spurlug: HTTP/1.1 client connection
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -29,7 +29,7 @@
 constexpr std::size_t BodyPieceBytes = 16 << 10;
 constexpr std::uint32_t LargestHead = 64 << 10;
 constexpr int FirstFinalStatus = 200;
-constexpr std::uint64_t LargestBody = 256 << 20; // Targets' answers; far above any real one.
+constexpr std::uint64_t LargestBody = 256 << 20; // Limit for targets' answers; real ones are far smaller.
 
 using Parser = http::response_parser<http::buffer_body>;
 
@@ -62,11 +62,11 @@
 
     void close()
     {
-        error_code ignored; // The connection ends whether or not it was open.
+        error_code ignored; // The socket may already be closed.
         socket.close(ignored);
     }
 
-    /// Awaits one operation; the connection is closed when it takes longer than `span`.
+    /// Awaits an operation; closes the connection when it takes longer than `span`.
     template<typename Operation>
     Task<error_code> within(core::Duration span, Operation operation)
     {
@@ -88,7 +88,7 @@
     std::string problem;
     bool refused = false;
     bool sent = false;
-    bool serverKeeps = false; ///< Whether the server keeps the connection after this response.
+    bool serverKeeps = false; ///< Whether the server keeps the connection open after this response.
 };
 
 ClientConnection::ClientConnection(Loop &loop)
@@ -106,7 +106,7 @@
     error_code invalid;
     const auto host = asio::ip::make_address(address.host, invalid);
     if (invalid) {
-        impl->problem = core::cat(address.host, " is no address");
+        impl->problem = core::cat(address.host, " is not an IP address");
         co_return impl->problem;
     }
     const auto error = co_await impl->within(timeout, [&]() -> Task<error_code> {
@@ -119,7 +119,7 @@
         impl->close();
         co_return impl->problem;
     }
-    error_code ignored; // Only costs delay when it fails.
+    error_code ignored; // A failure only increases latency.
     impl->socket.set_option(tcp::no_delay(true), ignored);
     co_return std::string();
 }
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: accepts TCP connections
+// spurlug: listener for TCP connections
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr int Backlog = 1024; // Connections that wait for accept; a full queue costs a caller seconds.
+constexpr int Backlog = 1024; // Length of the accept queue; a full queue delays a caller by seconds.
 constexpr auto PauseWithoutDescriptors = absl::Milliseconds(20);
 
 } // namespace
@@ -45,7 +45,7 @@
         auto [error, socket] = co_await m_acceptor.async_accept(Awaited);
         if (!error) {
             boost::system::error_code ignored;
-            socket.set_option(asio::ip::tcp::no_delay(true), ignored); // Only costs delay when it fails.
+            socket.set_option(asio::ip::tcp::no_delay(true), ignored); // A failure only increases latency.
             accepted(std::move(socket));
         } else if (m_acceptor.is_open()) {
             core::log(core::LogLevel::Warning, "accept_failed",
@@ -57,7 +57,7 @@
 
 void Listener::stop()
 {
-    boost::system::error_code ignored; // Closing a socket that is closed already is no fault.
+    boost::system::error_code ignored; // The socket may already be closed.
     m_acceptor.close(ignored);
 }
 
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: one HTTP/1.1 connection of a caller
+// spurlug: HTTP/1.1 server connection to a caller
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -27,8 +27,9 @@
 using boost::system::error_code;
 
 constexpr unsigned HttpVersion = 11;
-constexpr auto LingerTime = absl::Milliseconds(500); // For a last answer to be taken in before the connection ends.
-constexpr std::size_t LongestLinger = 1 << 20; // Bytes thrown away while lingering.
+constexpr auto LingerTime
+    = absl::Milliseconds(500); // Time for the caller to receive the last answer before the connection is closed.
+constexpr std::size_t LongestLinger = 1 << 20; // Maximum number of bytes discarded while lingering.
 constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 ReadEnd endOf(const error_code &error, bool expired)
@@ -86,12 +87,12 @@
 
     void reset()
     {
-        error_code ignored; // The connection ends whether or not each step succeeds.
+        error_code ignored; // The connection is closed whether or not each step succeeds.
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
         socket.close(ignored);
     }
 
-    /// Awaits one operation; the connection is reset when it takes longer than `span`.
+    /// Awaits an operation; resets the connection when it takes longer than `span`.
     template<typename Operation>
     Task<error_code> within(core::Duration span, Operation operation)
     {
@@ -130,7 +131,7 @@
                           }));
     }
 
-    /// Tells the end of the connection from a request that came early.
+    /// Distinguishes the end of the connection from a pipelined request.
     void readable()
     {
         if (!gone) {
@@ -144,7 +145,7 @@
         } else if (received <= 0) {
             const auto call = std::exchange(gone, nullptr);
             call();
-        } // Else: a request came before its turn. The connection cannot be watched until that is read.
+        } // Otherwise a pipelined request arrived; the connection cannot be watched until it is read.
     }
 
     tcp::socket socket;
@@ -272,7 +273,7 @@
 
 void ServerConnection::close()
 {
-    error_code ignored; // Closing a connection that the caller has ended is no fault.
+    error_code ignored; // The caller may have closed the connection already.
     m_impl->socket.shutdown(tcp::socket::shutdown_send, ignored);
     m_impl->socket.close(ignored);
 }
@@ -280,7 +281,7 @@
 Task<> ServerConnection::closeGently()
 {
     const auto impl = m_impl;
-    error_code ignored; // The caller may have ended the connection already.
+    error_code ignored; // The caller may have closed the connection already.
     impl->socket.shutdown(tcp::socket::shutdown_send, ignored);
     const auto error = co_await impl->within(LingerTime, [&]() -> Task<error_code> {
         std::array<char, 8192> discarded{};
@@ -292,7 +293,7 @@
         }
         co_return failure;
     });
-    static_cast<void>(error); // The end of the connection is what is waited for.
+    static_cast<void>(error); // An error is expected: the read ends when the caller closes the connection.
     close();
 }
 
--- a/src/objects/object_api.cpp
+++ b/src/objects/object_api.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: client of the platform's object API and VM list
+// spurlug: client for the platform's object API and VM list
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -38,11 +38,12 @@
         && error != httplib::Error::ConnectionTimeout;
 }
 
-/// Calls each address in turn until one answers with a status below 500.
+/// Calls each address in turn until one answers with a status below 500, except 429. A write whose answer was lost
+/// is not repeated.
 template<typename Call>
 httplib::Result callAny(const std::vector<core::Address> &addresses, core::Duration timeout, bool isWrite, Call call)
 {
-    std::string problem = "no platform address is set";
+    std::string problem = "no platform address is configured";
     for (const auto &address : addresses) {
         auto client = connect(address, timeout);
         auto result = call(client);
@@ -52,7 +53,8 @@
             return result;
         }
         if (!result && isWrite && requestWasSent(result.error())) {
-            throw core::UnknownResult(core::cat("answer lost: ", httplib::to_string(result.error())));
+            throw core::UnknownResult(
+                core::cat("the platform's answer was lost: ", httplib::to_string(result.error())));
         }
         problem = result ? core::cat("status ", result->status) : httplib::to_string(result.error());
     }
--- a/src/report/log_report.cpp
+++ b/src/report/log_report.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what the logs of relaying daemons tell of a span of time
+// spurlug: request statistics from the logs of relay daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -19,7 +19,7 @@
 namespace
 {
 
-/// The value below which a share of the samples lies; 0 without samples.
+/// Returns the value below which `share` of the samples lie; 0 when there are no samples.
 double quantile(std::vector<double> samples, double share)
 {
     if (samples.empty()) {
@@ -93,7 +93,7 @@
     figures.pausesMs.push_back(request.longestPauseMs);
     if (request.attempts.size() == 1 && request.attempts.front().expectedMs > 0) {
         const auto &attempt = request.attempts.front();
-        // From spans, not from the lines' times: the time of day may jump between two lines.
+        // Computed from durations, not from the times of the lines: the wall clock may jump between two lines.
         figures.firstToExpected.push_back((request.firstMs - attempt.waitedMs) / attempt.expectedMs);
     }
 }
@@ -103,7 +103,7 @@
     std::map<std::string, std::map<core::Time, RouteFigures>> byRoute;
     for (const auto &[id, request] : m_requests) {
         if (request.endedAt == absl::InfinitePast()) {
-            continue; // Not ended yet, or its end is in a file that was not given.
+            continue; // The request has not ended yet, or its end was logged in a file that was not added.
         }
         const auto arrivedAt = request.endedAt - absl::Milliseconds(request.totalMs);
         const auto number = absl::Floor(arrivedAt - absl::UnixEpoch(), m_interval);
--- a/src/report/repeat_report.cpp
+++ b/src/report/repeat_report.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: repeated sends of a whole fleet against their bound, from its logs
+// spurlug: a fleet's retries compared with its retry budget, from its logs
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// Times in (after, until], of a sorted list.
+/// Returns how many times of a sorted list are in (after, until].
 std::int64_t countIn(const std::vector<core::Time> &times, core::Time after, core::Time until)
 {
     return std::upper_bound(times.begin(), times.end(), until) - std::upper_bound(times.begin(), times.end(), after);
@@ -137,19 +137,18 @@
 
 std::string RepeatReport::text() const
 {
-    std::string text
-        = absl::StrFormat("repeated sends, the %.0f s nearest to the bound (%.2f of the requests + %.0f)\n",
-                          absl::ToDoubleSeconds(m_window), m_ratio, m_slack);
+    std::string text = absl::StrFormat("retries in the %.0f s closest to the budget (%.2f of the requests + %.0f)\n",
+                                       absl::ToDoubleSeconds(m_window), m_ratio, m_slack);
     for (const auto &[name, figures] : nearest()) {
         core::append(text,
-                     absl::StrFormat("  %s from %s: %d repeats of %d requests, allowed %.0f;", name,
+                     absl::StrFormat("  %s from %s: %d retries of %d requests, allowed %.0f;", name,
                                      absl::FormatTime("%H:%M:%E1S", figures.begin, absl::UTCTimeZone()),
                                      figures.repeats, figures.requests, figures.allowed),
                      countsText(figures.causes), "; charged to", countsText(figures.charges), "\n");
     }
-    core::append(text, "  not sent for the bound's sake: ", m_refused, "\n");
+    core::append(text, "  not sent because the budget was spent: ", m_refused, "\n");
     if (m_linesLeftOut > 0) {
-        core::append(text, "  lines left out of the logs: ", m_linesLeftOut, " (the sums above are too low)\n");
+        core::append(text, "  lines missing from the logs: ", m_linesLeftOut, " (the sums above are too low)\n");
     }
     return text;
 }
