--- a/src/objects/object_api.cpp
+++ b/src/objects/object_api.cpp
@@ -38,7 +38,7 @@
         && error != httplib::Error::ConnectionTimeout;
 }
 
-/// Calls each address in turn until one answers with a status below 500, except 429. A write whose answer was lost
+/// Calls each address in turn until one answers with a status below 500 (but not 429). A write whose answer was lost
 /// is not repeated.
 template<typename Call>
 httplib::Result callAny(const std::vector<core::Address> &addresses, core::Duration timeout, bool isWrite, Call call)
--- a/src/report/repeat_report.cpp
+++ b/src/report/repeat_report.cpp
@@ -137,11 +137,12 @@
 
 std::string RepeatReport::text() const
 {
-    std::string text = absl::StrFormat("retries in the %.0f s closest to the budget (%.2f of the requests + %.0f)\n",
-                                       absl::ToDoubleSeconds(m_window), m_ratio, m_slack);
+    std::string text
+        = absl::StrFormat("repeated sends in the %.0f s closest to the budget (%.2f of the requests + %.0f)\n",
+                          absl::ToDoubleSeconds(m_window), m_ratio, m_slack);
     for (const auto &[name, figures] : nearest()) {
         core::append(text,
-                     absl::StrFormat("  %s from %s: %d retries of %d requests, allowed %.0f;", name,
+                     absl::StrFormat("  %s from %s: %d repeats of %d requests, allowed %.0f;", name,
                                      absl::FormatTime("%H:%M:%E1S", figures.begin, absl::UTCTimeZone()),
                                      figures.repeats, figures.requests, figures.allowed),
                      countsText(figures.causes), "; charged to", countsText(figures.charges), "\n");
