--- a/include/spurlug/config/route_table.h
+++ b/include/spurlug/config/route_table.h
@@ -86,8 +86,7 @@
     std::string name;
     std::string healthPath;
     core::Duration coldStart = absl::ZeroDuration(); ///< Warm-up time: a target is slow for this long after its start.
-    double coldPerSecond
-        = 0; ///< Requests per second that a target accepts while it warms up; 0: as many as afterwards.
+    double coldPerSecond = 0; ///< Requests per second accepted during warm-up; 0: as many as afterwards.
     std::int64_t mostConnections = 0; ///< Maximum connections to one target from all daemons together.
     std::optional<EngineCosts> engine; ///< Set when the targets are model engines.
 };
--- a/include/spurlug/report/log_report.h
+++ b/include/spurlug/report/log_report.h
@@ -28,8 +28,8 @@
     std::int64_t notWhole = 0; ///< Not completed, or answered with a server error.
     Counts ends; ///< Requests that were not completed, by reason.
     Counts resends; ///< Failed attempts, by reason.
-    std::vector<double>
-        firstToExpected; ///< Of completed requests with one attempt: time from sending to first event / expected.
+    /// Of completed requests with one attempt: time from sending to first event, divided by the expected time.
+    std::vector<double> firstToExpected;
     std::vector<double> pausesMs; ///< Longest gap of each completed request.
     double readMs = 0; ///< Engine time for prefill.
     double readInVainMs = 0; ///< The part of `readMs` for requests that were not completed.
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -27,8 +27,7 @@
 using boost::system::error_code;
 
 constexpr unsigned HttpVersion = 11;
-constexpr auto LingerTime
-    = absl::Milliseconds(500); // Time for the caller to receive the last answer before the connection is closed.
+constexpr auto LingerTime = absl::Milliseconds(500); // For the caller to receive the last answer before the close.
 constexpr std::size_t LongestLinger = 1 << 20; // Maximum number of bytes discarded while lingering.
 constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
 
