--- a/standins/cache_events.cpp
+++ b/standins/cache_events.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of an engine's cache events: late and with gaps
+// spurlug: cache events of the stand-in engine, delayed and with gaps
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/standins/cache_events.h
+++ b/standins/cache_events.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of an engine's cache events: late and with gaps
+// spurlug: cache events of the stand-in engine, delayed and with gaps
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -14,14 +14,14 @@
 namespace standins
 {
 
-/// \brief What happened to a block of the prefix cache.
+/// \brief Kind of change of a block in the prefix cache.
 enum class CacheEventKind
 {
     Stored,
     Evicted,
 };
 
-/// \brief One event; numbers that a reader does not see were lost.
+/// \brief A cache event. Events are numbered consecutively; a reader recognizes lost events by gaps.
 struct CacheEvent
 {
     std::uint64_t number = 0;
@@ -30,18 +30,18 @@
     spurlug::core::Time at;
 };
 
-/// \brief Keeps the latest events, shows them late, and loses some.
+/// \brief Keeps the latest events, returns them after a delay and drops some of them.
 class CacheEvents
 {
 public:
-    /// \param lag Age from which on an event is shown.
-    /// \param loseEvery Each so-manieth event is lost; 0: none.
-    /// \param kept Events kept; older ones are lost too.
+    /// \param lag Age from which on an event is returned.
+    /// \param loseEvery Interval of lost events: 50 drops every 50th event, 0 drops none.
+    /// \param kept Maximum number of events that are kept; older ones are dropped.
     CacheEvents(spurlug::core::Duration lag, std::uint64_t loseEvery, std::size_t kept);
 
     void add(CacheEventKind kind, std::uint64_t block, spurlug::core::Time now);
 
-    /// \brief Events after number `after` that may be shown now.
+    /// \brief Returns the events with a number above `after` that are at least the lag old.
     [[nodiscard]] std::vector<CacheEvent> since(std::uint64_t after, spurlug::core::Time now) const;
 
 private:
--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of a model engine: the model, without sockets
+// spurlug: simulation of a model engine, without network access
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -25,7 +25,8 @@
 
 constexpr double MicrosPerSecond = 1e6;
 constexpr std::size_t CacheEventsKept = 4096;
-constexpr std::int64_t LongPriority = 100; // From this priority on a job counts as long.
+constexpr std::int64_t LongPriority
+    = 100; // Jobs with this priority value or a higher one are long and not counted as urgent.
 
 std::int64_t tokensOf(const std::string &prompt, const EngineCosts &costs)
 {
@@ -324,7 +325,8 @@
     return static_cast<double>(chunk) * perToken / share;
 }
 
-/// The leader's costs are counted at the leader; a member is busy for as long, chunk by chunk.
+/// Computes one chunk of a group's prefill. The duration leaves out the costs that depend on the context; the leader
+/// counts these.
 double EngineModel::shareChunk()
 {
     for (auto &[id, held] : m_reservations) {
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of a model engine: the model, without sockets
+// spurlug: simulation of a model engine, without network access
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -24,58 +24,58 @@
 using spurlug::core::Duration;
 using spurlug::core::Time;
 
-/// \brief Published costs of an engine; see `standins/engine_costs.json`.
+/// \brief Published capacities and costs of an engine; see `standins/engine_costs.json`.
 struct EngineCosts
 {
-    std::int64_t kvTokens = 400'000; ///< KV memory.
-    std::int64_t maxStreams = 64; ///< Requests at once.
-    std::int64_t chunkTokens = 2048; ///< Prompt tokens of one step.
-    double prefillMicrosPerToken = 20; ///< At an empty context.
-    double prefillNanosPerTokenContext = 0.2; ///< On top, for each token of context: the quadratic part.
-    double decodeMicrosPerStep = 12'000; ///< One token for each stream in decode.
-    double decodeMicrosPerStream = 150;
-    std::int64_t blockTokens = 256; ///< Granularity of the prefix cache.
+    std::int64_t kvTokens = 400'000; ///< Size of the KV memory.
+    std::int64_t maxStreams = 64; ///< Maximum number of requests that the engine holds at once.
+    std::int64_t chunkTokens = 2048; ///< Maximum prompt tokens that a step prefills.
+    double prefillMicrosPerToken = 20; ///< Cost of a prompt token at an empty context.
+    double prefillNanosPerTokenContext = 0.2; ///< Additional cost per token of context (the quadratic part).
+    double decodeMicrosPerStep = 12'000; ///< Fixed cost of a step that generates a token for each decoding stream.
+    double decodeMicrosPerStream = 150; ///< Additional cost per decoding stream.
+    std::int64_t blockTokens = 256; ///< Block size of the prefix cache.
     std::int64_t bytesPerToken = 4;
-    double transferMicrosPerToken = 1; ///< Of KV memory imported from another engine.
-    double cacheEventLagMs = 200; ///< Age from which on cache events are shown.
-    std::int64_t loseCacheEvery = 50; ///< Each so-manieth cache event is lost; 0: none.
-    double timeScale = 1.0; ///< Below 1 the engine is faster than the costs say.
+    double transferMicrosPerToken = 1; ///< Cost of KV memory imported from another engine.
+    double cacheEventLagMs = 200; ///< Age from which on cache events are returned.
+    std::int64_t loseCacheEvery = 50; ///< Interval of lost cache events (50: every 50th); 0: none is lost.
+    double timeScale = 1.0; ///< Factor of all times; below 1 the engine is faster than the costs say.
 };
 
 /// \brief Reads costs from a JSON file. \throws InvalidDocument
 [[nodiscard]] EngineCosts loadEngineCosts(const std::string &path);
 
-/// \brief Word that an engine answers at an offset: the same for the same prompt, whichever engine answers.
-/// \param seed spurlug::core::fastHash of the prompt.
+/// \brief Returns the word that an engine generates at a token offset. It depends only on the prompt, not on the
+/// engine. \param seed The spurlug::core::fastHash of the prompt.
 [[nodiscard]] std::string answerWord(std::uint64_t seed, std::int64_t offset);
 
-/// \brief What a request asks of the engine.
+/// \brief A generation request to the engine.
 struct EngineJob
 {
     std::string id;
-    std::int64_t priority = 0; ///< Lower goes first.
+    std::int64_t priority = 0; ///< Lower values are served first.
     std::string prompt;
     std::int64_t answerTokens = 64;
-    std::int64_t resumeFrom = 0; ///< Tokens that the caller has already.
-    std::string reservation; ///< KV memory set aside before; empty: none.
-    int group = 1; ///< Engines that share the prefill.
+    std::int64_t resumeFrom = 0; ///< Number of tokens that the caller already has.
+    std::string reservation; ///< Id of a KV memory reservation made before; empty: none.
+    int group = 1; ///< Number of engines that share the prefill.
 };
 
-/// \brief What happens to a job; called from the engine's step.
+/// \brief Callbacks of a job, called from EngineModel::step().
 struct JobEvents
 {
     std::function<void(std::int64_t offset, const std::string &text)> token;
     std::function<void(std::int64_t promptTokens, std::int64_t answerTokens)> finished;
 };
 
-/// \brief KV memory of one request, on its way to another engine.
+/// \brief KV memory of one request for the transfer to another engine.
 struct KvExport
 {
-    std::vector<std::uint64_t> blocks; ///< Hashes of the blocks that are computed.
+    std::vector<std::uint64_t> blocks; ///< Hashes of the computed blocks.
     std::int64_t tokens = 0;
 };
 
-/// \brief Load as the engine reports it.
+/// \brief Load that the engine reports.
 struct EngineLoad
 {
     std::int64_t queuedTokens = 0;
@@ -88,9 +88,9 @@
     double prefillRate = 0;
 };
 
-/// \brief Continuous batching with chunked prefill, KV memory, reservations and a prefix cache.
+/// \brief Simulates continuous batching with chunked prefill, KV memory, reservations and a prefix cache.
 ///
-/// A pure state machine: `step` says how long the step takes, and the shell sleeps. Not safe for several threads.
+/// A state machine without I/O: step() returns the duration of the step, and the caller sleeps. Not thread-safe.
 class EngineModel
 {
 public:
@@ -101,31 +101,33 @@
     enum class Submission
     {
         Accepted,
-        Full, ///< As many requests as it may hold.
-        TooLarge, ///< Its memory could never hold the request.
+        Full, ///< The engine holds EngineCosts::maxStreams requests already.
+        TooLarge, ///< The request exceeds the engine's whole KV memory.
         NoReservation, ///< The reservation is unknown.
-        Duplicate, ///< A request of that id is in progress.
+        Duplicate, ///< A request with the same id is in progress.
     };
     Submission submit(EngineJob job, JobEvents events);
-    /// \brief Ends a job. \returns False when there is no such job.
+    /// \brief Cancels a job. \returns False if there is no such job.
     bool cancel(const std::string &id);
-    /// \brief Sets memory aside, or keeps it. \returns False when there is not enough.
+    /// \brief Reserves KV memory, or extends the reservation of this id. \returns False if there is not enough memory.
     bool reserve(const std::string &id, std::int64_t tokens, Duration ttl, Time now);
+    /// \brief Releases a reservation and cancels the jobs that use it. \returns False if there is no such reservation.
     bool release(const std::string &id);
-    /// \brief Adds a share of a group's prefill that this engine does for a leader.
+    /// \brief Adds prompt tokens that this engine prefills for the leader of a group.
+    /// \returns False if there is no such reservation.
     bool addShare(const std::string &reservation, std::int64_t tokens);
     /// \brief Keeps a request's computed KV memory for another engine until `ttl` has passed.
-    /// \returns Nothing when there is no such request, or its prefill is not finished.
+    /// \returns Nothing if there is no such request, its prefill is not finished, or the memory does not suffice.
     std::optional<KvExport> exportKv(const std::string &jobId, const std::string &exportId, Duration ttl, Time now);
-    /// \brief Takes KV memory computed elsewhere into the prefix cache. \returns Time of the transfer.
+    /// \brief Adds KV memory computed by another engine to the prefix cache. \returns Duration of the transfer.
     Duration importKv(const KvExport &kv, Time now);
-    /// \brief Does one step of work. \returns Its duration; zero when there is nothing to do.
+    /// \brief Runs one step. \returns Its duration; zero if there is nothing to do.
     Duration step(Time now);
     /// @}
     /// \name Queries
     /// @{
     [[nodiscard]] EngineLoad load() const;
-    /// \brief Events of the prefix cache, late and with gaps.
+    /// \brief Returns events of the prefix cache, delayed and with gaps.
     [[nodiscard]] std::vector<CacheEvent> cacheEvents(std::uint64_t after, Time now) const;
     [[nodiscard]] const EngineCosts &costs() const noexcept;
     /// @}
@@ -138,7 +140,7 @@
         std::int64_t promptTokens = 0;
         std::int64_t prefilled = 0;
         std::int64_t nextToken = 0;
-        std::int64_t held = 0; ///< KV tokens, those of a reservation not counted.
+        std::int64_t held = 0; ///< KV tokens in use, without those of a reservation.
         bool admitted = false;
         std::vector<std::uint64_t> blocks;
         std::uint64_t seed = 0;
@@ -147,7 +149,7 @@
     {
         std::int64_t tokens = 0;
         Time expiresAt;
-        std::int64_t shareLeft = 0; ///< Prefill tokens to do for a leader.
+        std::int64_t shareLeft = 0; ///< Prompt tokens still to be prefilled for the leader of a group.
     };
 
     void expire(Time now);
@@ -164,12 +166,12 @@
     void finish(const std::string &id);
 
     EngineCosts m_costs;
-    Time m_now = absl::UnixEpoch(); ///< Of the last command that told it.
+    Time m_now = absl::UnixEpoch(); ///< Time of the last step(), exportKv() or importKv().
     CacheEvents m_cacheEvents;
     std::map<std::string, std::unique_ptr<Job>> m_jobs;
-    std::list<std::string> m_order; ///< Job ids as they came.
+    std::list<std::string> m_order; ///< Job ids in order of arrival.
     std::map<std::string, Held> m_reservations;
-    std::list<std::uint64_t> m_cacheOrder; ///< Least recently used first.
+    std::list<std::uint64_t> m_cacheOrder; ///< Hashes of the cached blocks, least recently used first.
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_cache;
 };
 
--- a/standins/engine_orders.cpp
+++ b/standins/engine_orders.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of an engine's orders: models, adapters, versions and roles, fenced or not
+// spurlug: commands to the stand-in engine (models, adapters, versions, roles), with or without fencing
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/standins/engine_orders.h
+++ b/standins/engine_orders.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of an engine's orders: models, adapters, versions and roles, fenced or not
+// spurlug: commands to the stand-in engine (models, adapters, versions, roles), with or without fencing
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,35 +13,35 @@
 namespace standins
 {
 
-/// \brief An order to an engine.
+/// \brief A command to an engine.
 struct EngineOrder
 {
-    std::uint64_t epoch = 0; ///< Fencing epoch of whoever gives the order.
+    std::uint64_t epoch = 0; ///< Fencing epoch of the sender.
     std::string kind; ///< "load", "unload" or "role".
-    std::string name; ///< Model, adapter or role.
-    std::string version; ///< Of what is loaded.
+    std::string name; ///< Name of the model or adapter, or the role.
+    std::string version; ///< Version of the model or adapter to load.
 };
 
-/// \brief What an engine has loaded, and the highest epoch it has seen. A pure state machine.
+/// \brief Models, adapters and role of an engine, and the highest epoch it accepted. A state machine without I/O.
 class EngineOrders
 {
 public:
-    /// \param checksFence Whether orders of an older epoch are refused.
-    /// \param loadTime How long loading takes.
+    /// \param checksFence Whether commands of an older epoch are rejected.
+    /// \param loadTime Time that loading takes.
     EngineOrders(bool checksFence, spurlug::core::Duration loadTime);
 
     enum class Reply
     {
         Accepted,
-        Outdated, ///< An order of a higher epoch came before.
-        Unknown, ///< No such kind of order.
+        Outdated, ///< A command of a higher epoch was accepted before.
+        Unknown, ///< Unknown kind of command.
     };
     Reply give(const EngineOrder &order, spurlug::core::Time now);
 
-    /// \brief Highest epoch of an accepted order.
+    /// \brief Returns the highest epoch of an accepted command.
     [[nodiscard]] std::uint64_t highestEpoch() const noexcept;
 
-    /// \brief Versions by name, of all that is loaded at `now`.
+    /// \brief Returns the versions of all models and adapters that are loaded at `now`, by name.
     [[nodiscard]] std::map<std::string, std::string> loaded(spurlug::core::Time now) const;
 
     [[nodiscard]] const std::string &role() const noexcept;
--- a/standins/fault_proxy.cpp
+++ b/standins/fault_proxy.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a proxy that delays, cuts, stalls, resets, doubles and reorders, for tests
+// spurlug: TCP and UDP proxy for tests that delays, drops, stalls, resets, duplicates and reorders
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -35,18 +35,18 @@
 constexpr std::size_t BufferBytes = 65536;
 constexpr std::int64_t Never = -1;
 
-/// What the proxy does to traffic; set by `POST /faults`, read on each forwarding.
+/// Faults that the proxy injects; set by `POST /faults` and read whenever data is forwarded.
 struct FaultSettings
 {
-    std::int64_t delayMs = 0; ///< Before each forwarding.
-    bool refuse = false; ///< New connections are closed at once, open ones are reset.
-    bool dropToTarget = false; ///< Bytes towards the target vanish.
-    bool dropToCaller = false; ///< Bytes towards the caller vanish.
-    std::int64_t resetAfter = Never; ///< The connection is reset after so many bytes towards the caller.
-    std::int64_t stallAfter = Never; ///< Nothing more is forwarded to the caller after so many bytes.
-    bool loseAnswer = false; ///< The connection is reset when the target's first byte comes.
+    std::int64_t delayMs = 0; ///< Delay before data is forwarded.
+    bool refuse = false; ///< New connections are closed at once, open ones are reset, datagrams are dropped.
+    bool dropToTarget = false; ///< Data sent to the target is dropped.
+    bool dropToCaller = false; ///< Data sent to the caller is dropped.
+    std::int64_t resetAfter = Never; ///< Number of bytes to the caller after which the connection is reset.
+    std::int64_t stallAfter = Never; ///< Number of bytes to the caller after which nothing more is forwarded to it.
+    bool loseAnswer = false; ///< The connection is reset when the target sends its first byte.
     bool duplicate = false; ///< Each datagram is sent twice.
-    bool reorder = false; ///< Datagrams are sent in swapped pairs.
+    bool reorder = false; ///< The two datagrams of each pair are swapped.
 };
 
 class Faults
@@ -78,7 +78,7 @@
     FaultSettings m_settings ABSL_GUARDED_BY(m_mutex);
 };
 
-/// One proxied TCP connection.
+/// A proxied TCP connection.
 class Link : public std::enable_shared_from_this<Link>
 {
 public:
@@ -106,7 +106,7 @@
 private:
     using Buffer = std::vector<char>;
 
-    /// Open connections are reset once the proxy is told to refuse.
+    /// Resets the connection once FaultSettings::refuse is set.
     void watch()
     {
         m_watch.expires_after(std::chrono::milliseconds(10));
@@ -235,7 +235,8 @@
     const Faults &m_faults;
 };
 
-/// Forwards datagrams one way: daemons send to each other's addresses and never answer to the sender's.
+/// Forwards datagrams in one direction only, because daemons send to each other's known addresses and never reply to
+/// the source address of a datagram.
 class UdpProxy
 {
 public:
@@ -334,7 +335,7 @@
 int main(int argc, char **argv)
 {
     using namespace standins;
-    options::options_description description("fault-proxy - forwards TCP and UDP to one target, with faults");
+    options::options_description description("fault-proxy - forwards TCP and UDP to one target and injects faults");
     description.add_options()("help,h", "show this text")("target", options::value<std::string>(), "HOST:PORT")(
         "ports-file", options::value<std::string>()->default_value(""), "write the bound addresses to this file");
     try {
--- a/standins/object_store.cpp
+++ b/standins/object_store.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of the platform's object API: the store, without sockets
+// spurlug: object store of the stand-in platform, without network access
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/standins/standin_engine.cpp
+++ b/standins/standin_engine.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of a model engine: the process
+// spurlug: stand-in for a model engine, the process
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -45,7 +45,7 @@
 constexpr auto ModelLoadTime = absl::Seconds(20);
 constexpr auto ExportTtl = absl::Seconds(10);
 
-/// A job's events on their way to its connection.
+/// Events of a job that wait to be sent on its connection.
 struct JobStream
 {
     absl::Mutex mutex;
@@ -94,7 +94,7 @@
         .dump();
 }
 
-/// The engine's model behind a lock, its step thread and its HTTP interface.
+/// Runs the engine model in a thread of its own and serves it over HTTP.
 class EngineServer
 {
 public:
@@ -177,7 +177,7 @@
         response.status = kept ? 200 : Conflict;
     }
 
-    /// The answer's body is what `/kv/import` of another engine takes.
+    /// Responds with the body that `/kv/import` of another engine accepts.
     void exportKv(const httplib::Request &request, httplib::Response &response)
     {
         const auto jobId = request.matches[1].str();
@@ -275,7 +275,7 @@
         return absl::StrSplit(request.get_header_value("Group-Members"), ',', absl::SkipEmpty());
     }
 
-    /// Tells the other members of a group to do their part of the prefill.
+    /// Requests the other members of a group to compute their shares of the prefill.
     void shareOut(const std::vector<std::string> &members, const EngineJob &job, std::int64_t promptTokens)
     {
         for (const auto &member : members) {
@@ -383,7 +383,7 @@
             .dump();
     }
 
-    /// `/load` shows the state of up to one lag ago; `/state` shows the truth, for tests.
+    /// Renews the report at `/load`, which is up to the report lag old. `/state` returns the current state, for tests.
     core::Duration renewReport()
     {
         auto report = describe();
@@ -416,9 +416,9 @@
         "listen", options::value<std::string>()->default_value("127.0.0.1:0"),
         "HOST:PORT")("costs", options::value<std::string>()->default_value(""), "costs file (JSON)")(
         "time-scale", options::value<double>()->default_value(1.0),
-        "multiplies all costs")("kv-tokens", options::value<std::int64_t>(), "KV memory, overrides the costs file")(
-        "no-fence", "take orders of any epoch")("report-lag-ms", options::value<std::int64_t>()->default_value(100),
-                                                "age of load reports")(
+        "factor of all costs")("kv-tokens", options::value<std::int64_t>(), "KV memory, overrides the costs file")(
+        "no-fence", "accept commands of any epoch")("report-lag-ms", options::value<std::int64_t>()->default_value(100),
+                                                    "interval of load reports")(
         "ports-file", options::value<std::string>()->default_value(""), "write the bound address to this file");
     try {
         options::variables_map given;
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of the platform: object API, VM list and weight store
+// spurlug: stand-in for the platform: object API, VM list and weight store
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -37,12 +37,12 @@
 constexpr std::size_t LargestValue = 1U << 20;
 constexpr auto LongestWatch = absl::Seconds(60);
 
-/// Faults that a test switches on.
+/// Faults that tests set by `POST /standin/faults`.
 struct Faults
 {
     std::atomic<bool> down{false};
     std::atomic<int> slowMs{0};
-    std::atomic<int> loseAnswers{0}; ///< The next so many writes take effect and are answered by a cut.
+    std::atomic<int> loseAnswers{0}; ///< Number of following updates whose response is cut off after they were processed.
 };
 
 std::int64_t number(const std::string &text, std::int64_t fallback)
@@ -141,7 +141,7 @@
             + std::min(core::fromMs(number(request.get_param_value("waitMs"), 0)), core::Duration(LongestWatch));
         const auto after = number(request.get_param_value("after"), 0);
         std::optional<StoredObject> object;
-        constexpr auto Slice = absl::Milliseconds(200); // Between looks at whether the platform went down.
+        constexpr auto Slice = absl::Milliseconds(200); // Interval at which a watch checks Faults::down.
         while (!object && core::now() < until && !m_faults.down) {
             object = m_objects.waitAbove(name, after, std::min(core::Duration(Slice), until - core::now()));
         }
@@ -155,7 +155,7 @@
                                                 : std::nullopt;
     }
 
-    /// A write that took effect, whose answer is lost on the way.
+    /// Cuts off the response of a processed update while Faults::loseAnswers is above zero, and counts it down.
     bool loseAnswer(httplib::Response &response)
     {
         if (m_faults.loseAnswers <= 0) {
@@ -210,7 +210,7 @@
         m_vms[id] = std::move(vm);
     }
 
-    /// Shows the VMs as they were one lag ago.
+    /// Sends the VM list, which is renewed once it is as old as the VM list lag.
     void listVms(httplib::Response &response)
     {
         if (!admitRead(response)) {
@@ -277,7 +277,7 @@
         "listen", options::value<std::string>()->default_value("127.0.0.1:0"),
         "HOST:PORT")("reads-per-second", options::value<double>()->default_value(2000), "rate limit of reads")(
         "writes-per-second", options::value<double>()->default_value(100), "rate limit of writes")(
-        "vm-list-lag-ms", options::value<std::int64_t>()->default_value(0), "age of the VM list")(
+        "vm-list-lag-ms", options::value<std::int64_t>()->default_value(0), "maximum age of the VM list")(
         "weight-bytes-per-second", options::value<double>()->default_value(1e9), "rate limit of the weight store")(
         "ports-file", options::value<std::string>()->default_value(""), "write the bound address to this file");
     try {
--- a/standins/standin_service.cpp
+++ b/standins/standin_service.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: stand-in of a plain service: counts how often each request ran
+// spurlug: stand-in for a plain service that counts how often each request ran
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -24,7 +24,7 @@
 namespace options = boost::program_options;
 namespace core = spurlug::core;
 
-/// Runs per `Work-Id` header: the oracle for at most once.
+/// Counts the runs per `Work-Id` header, so that tests can verify at-most-once execution.
 class RunCounts
 {
 public:
