--- a/bench/cores_bench.cpp
+++ b/bench/cores_bench.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: costs of the pure cores at several sizes
+// spurlug: micro-benchmarks of components without I/O, at several sizes
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -116,7 +116,7 @@
 }
 BENCHMARK(readHeartbeat)->Arg(0)->Arg(2)->Arg(8)->Arg(32);
 
-/// A heartbeat to another failure domain, or one that repeats a summary at home.
+/// Reads a heartbeat with a domain summary, as it is sent to another failure domain or passed on in the local one.
 void readSummary(benchmark::State &state)
 {
     membership::DomainSummary summary;
--- a/bench/corpus.cpp
+++ b/bench/corpus.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: real text for prompts
+// spurlug: prompts cut from the text of local files
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -24,7 +24,7 @@
 constexpr std::size_t LeastBytes = 16U << 10;
 constexpr std::size_t MostOfOneFile = 256U << 10;
 
-/// Keeps printable ASCII and line ends, so that a byte is a byte in JSON too.
+/// Appends only printable ASCII and line feeds, so that each byte is one character in JSON as well.
 void appendPlain(std::string &text, const std::string &bytes)
 {
     std::copy_if(bytes.begin(), bytes.end(), std::back_inserter(text),
@@ -62,7 +62,7 @@
         }
     }
     if (m_text.size() < LeastBytes) {
-        throw spurlug::core::InvalidDocument("too little text was found for prompts");
+        throw spurlug::core::InvalidDocument("the given directories hold too little text for prompts");
     }
 }
 
--- a/bench/corpus.h
+++ b/bench/corpus.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: real text for prompts
+// spurlug: prompts cut from the text of local files
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -11,21 +11,21 @@
 namespace bench
 {
 
-/// \brief Text from files of this machine, cut into prompts.
+/// \brief Text of local files that prompts are cut from.
 class Corpus
 {
 public:
     /// \brief Reads up to a few megabytes from the regular files below some directories.
-    /// \throws InvalidDocument when there is too little text.
+    /// \throws InvalidDocument if they hold too little text.
     explicit Corpus(const std::vector<std::string> &directories);
 
-    /// \brief A prompt.
-    /// \param bytes Its size.
-    /// \param draw Chooses the text.
-    /// \param prefix Beginning that the prompt shares with others; empty: none.
+    /// \brief Returns a prompt.
+    /// \param bytes Size of the prompt.
+    /// \param draw Random value that selects the text and tags the prompt.
+    /// \param prefix Prefix that the prompt shares with others; empty: none.
     [[nodiscard]] std::string prompt(std::size_t bytes, std::uint64_t draw, const std::string &prefix) const;
 
-    /// \brief A text of `bytes` that is the same for the same name.
+    /// \brief Returns a text of `bytes` bytes that depends only on the name.
     [[nodiscard]] std::string sharedPrefix(const std::string &name, std::size_t bytes) const;
 
 private:
--- a/bench/experiment.cpp
+++ b/bench/experiment.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: experiments: which requests are sent, and when
+// spurlug: experiments, which define the requests to send and their times
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: experiments: which requests are sent, and when
+// spurlug: experiments, which define the requests to send and their times
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,23 +13,23 @@
 namespace bench
 {
 
-/// \brief Prompts of one range of lengths.
+/// \brief A range of prompt lengths.
 struct LengthRange
 {
-    double share = 1; ///< Of the requests.
-    std::int64_t least = 1000; ///< Tokens.
-    std::int64_t most = 4000; ///< Tokens.
-    std::string requestClass; ///< Sent as the class header; empty: none.
+    double share = 1; ///< Weight of the range among all ranges.
+    std::int64_t least = 1000; ///< Minimum length in tokens.
+    std::int64_t most = 4000; ///< Maximum length in tokens.
+    std::string requestClass; ///< Value of the class header; empty: none is sent.
 };
 
 /// \brief A sender of requests.
 struct Sender
 {
     std::string key; ///< API key.
-    double share = 1; ///< Of the requests.
+    double share = 1; ///< Weight of the sender among all senders.
 };
 
-/// \brief An experiment file.
+/// \brief Contents of an experiment file.
 struct Experiment
 {
     std::uint64_t seed = 1;
@@ -37,29 +37,30 @@
     double requestsPerSecond = 10;
     std::string model;
     std::int64_t answerTokens = 32;
-    double sharedPrefix = 0.3; ///< Share of prompts that begin like others of their sender.
-    std::int64_t deadlineMs = 0; ///< 0: the class's default.
+    double sharedPrefix = 0.3; ///< Share of the prompts that start with the shared prefix of their sender.
+    std::int64_t deadlineMs = 0; ///< Deadline of each request; 0: the default of its class.
     std::vector<LengthRange> lengths;
     std::vector<Sender> senders;
-    std::int64_t onlyBelow = 0; ///< Sends only prompts below so many tokens; 0: all.
-    std::vector<std::int64_t> always; ///< Prompt lengths that are sent once each, at the start.
+    std::int64_t onlyBelow = 0; ///< Length in tokens below which prompts are sent; 0: all are sent.
+    std::vector<std::int64_t> always; ///< Lengths in tokens of prompts that are sent once each, at the start.
 };
 
-/// \brief One request to be sent.
+/// \brief A request to be sent.
 struct PlannedRequest
 {
-    spurlug::core::Duration at;
-    std::int64_t tokens = 0;
+    spurlug::core::Duration at; ///< Time since the start of the experiment.
+    std::int64_t tokens = 0; ///< Length of the prompt.
     std::string requestClass;
     std::string key;
-    std::uint64_t text = 0; ///< Chooses the prompt's text.
+    std::uint64_t text = 0; ///< Random value that selects the prompt's text.
     bool sharesPrefix = false;
 };
 
 /// \brief Reads an experiment file. \throws InvalidDocument
 [[nodiscard]] Experiment loadExperiment(const std::string &path);
 
-/// \brief Draws the requests: Poisson arrivals, lengths log-uniform within their range. Same seed, same requests.
+/// \brief Generates the requests, with Poisson arrivals and lengths that are log-uniform within their range. The same
+/// seed gives the same requests.
 [[nodiscard]] std::vector<PlannedRequest> plan(const Experiment &experiment);
 
 } // namespace bench
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what a daemon spends on control, with real daemons, at several fleet sizes
+// spurlug: resources that daemons use for control traffic, with real daemons at several fleet sizes
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -25,7 +25,7 @@
 namespace core = spurlug::core;
 using support::Fleet;
 
-constexpr double HeaderBytes = 28; // IP and UDP, of each datagram.
+constexpr double HeaderBytes = 28; // IP and UDP headers of a datagram.
 constexpr int Changes = 9;
 
 double median(std::vector<double> values)
@@ -34,7 +34,7 @@
     return values[values.size() / 2];
 }
 
-/// Counters and use of one daemon at one time.
+/// Counters and resource usage of a daemon at one time.
 struct Sample
 {
     ProcessUse use;
@@ -61,7 +61,7 @@
     return support::call(fleet.process("platform").address("listen"), "GET", "/standin/stats").json();
 }
 
-/// Time from the start of an apply until every daemon has the change in force.
+/// Applies a change of the configuration and returns the time until it is active in every daemon, in milliseconds.
 double applyMs(Fleet &fleet, std::int64_t generation)
 {
     fleet.configuration()["classes"][0]["priority"] = generation;
@@ -146,8 +146,8 @@
                                                           "numbers of daemons")(
         "engines", options::value<std::vector<int>>()->multitoken()->default_value({10}, "10"),
         "numbers of stand-in engines")("seconds", options::value<double>()->default_value(10),
-                                       "length of each measurement")("out", options::value<std::string>(),
-                                                                     "write the results as JSON");
+                                       "duration of each measurement")("out", options::value<std::string>(),
+                                                                       "write the results as JSON");
     try {
         options::variables_map given;
         options::store(options::parse_command_line(argc, argv, description), given);
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what one daemon adds and spends on the request path
+// spurlug: latency that one daemon adds to requests, and the CPU time and memory that it uses
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -29,7 +29,7 @@
 namespace core = spurlug::core;
 using support::Fleet;
 
-constexpr int OpenStreamTokens = 2000; // At 15 tokens a second longer than any measurement lasts.
+constexpr int OpenStreamTokens = 2000; // At 15 tokens per second, streams last longer than any measurement.
 constexpr std::int64_t OpenPromptTokens = 4000;
 constexpr double ProbesPerSecond = 50;
 
@@ -53,7 +53,7 @@
     return request;
 }
 
-/// Streams that stay open and are read until the end of life.
+/// Opens streams and reads them until it is destroyed.
 class OpenStreams
 {
 public:
@@ -96,7 +96,7 @@
     std::vector<std::thread> m_threads;
 };
 
-/// Time to the first token of one short request, milliseconds.
+/// Sends a short request and returns the time to its first token in milliseconds.
 double probe(const std::string &address, const std::string &prompt, bool toEngine, int number)
 {
     const auto to = core::parseAddress(address);
@@ -119,7 +119,7 @@
     return first;
 }
 
-/// Direct and relayed probes by turns, at a steady rate, so that both see the same machine.
+/// Alternates direct and relayed probes at a constant rate, so that both run under the same conditions of the machine.
 nlohmann::ordered_json probeLatency(const std::string &daemon, const std::string &engine, double seconds)
 {
     const auto prompt = Fleet::promptOf(1000);
@@ -145,7 +145,7 @@
     const auto &vm = fleet.daemons().front();
     const OpenStreams open(fleet.caller(vm), streams);
     if (!support::eventually([&] { return open.streaming() == streams; })) {
-        throw std::runtime_error("the streams did not open");
+        throw std::runtime_error("not all streams produced a first token in time");
     }
     const auto pid = fleet.process(vm).pid();
     const auto use = useOf(pid);
@@ -199,9 +199,10 @@
     options::options_description description("path-bench - added latency, CPU and memory of one daemon");
     description.add_options()("help,h", "show this text")("streams", options::value<std::vector<int>>()->multitoken(),
                                                           "numbers of open streams")(
-        "time-scale", options::value<double>()->default_value(3.4), "of the engines; 3.4 makes 15 tokens/s a stream")(
+        "time-scale", options::value<double>()->default_value(3.4),
+        "time scale of the engines; 3.4 yields 15 tokens/s per stream")(
         "seconds", options::value<double>()->default_value(8),
-        "length of each measurement")("out", options::value<std::string>(), "write the results as JSON");
+        "duration of each measurement")("out", options::value<std::string>(), "write the results as JSON");
     try {
         options::variables_map given;
         options::store(options::parse_command_line(argc, argv, description), given);
--- a/bench/process_use.cpp
+++ b/bench/process_use.cpp
@@ -16,7 +16,7 @@
 
 ProcessUse useOf(int pid)
 {
-    constexpr std::size_t UserTicks = 11; // Fields of /proc/PID/stat after the name.
+    constexpr std::size_t UserTicks = 11; // Indexes of the fields of /proc/PID/stat that follow the name.
     constexpr std::size_t SystemTicks = 12;
     constexpr std::size_t ResidentPages = 21;
     std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
--- a/bench/process_use.h
+++ b/bench/process_use.h
@@ -7,10 +7,10 @@
 namespace bench
 {
 
-/// \brief What the kernel says of a process.
+/// \brief CPU time and memory of a process as reported by the kernel.
 struct ProcessUse
 {
-    double cpuSeconds = 0;
+    double cpuSeconds = 0; ///< User and system time.
     double residentBytes = 0;
 };
 
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: mixed load under random failures, every answer checked
+// spurlug: mixed load under random failures, with a check of every answer
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -35,17 +35,19 @@
 constexpr std::int64_t DeadlineMs = 20'000;
 constexpr auto DeadlineSlack = absl::Seconds(2);
 
-/// What callers saw, added up.
+/// Results of the callers' requests, summed up.
 struct Tally
 {
-    std::map<std::string, std::int64_t> ends; ///< Requests by kind and how they ended.
-    std::int64_t wrong = 0; ///< Ended properly with another text than expected.
-    std::int64_t cutSilently = 0; ///< Broken without a word by a daemon that was never killed.
-    std::int64_t pastDeadline = 0; ///< Ended later than the deadline, at a daemon that was never frozen.
-    std::map<std::string, std::string> told; ///< Outcome told for each request that must run once.
+    std::map<std::string, std::int64_t> ends; ///< Number of requests by kind and result.
+    std::int64_t wrong = 0; ///< Complete answers whose text is not the expected one.
+    std::int64_t cutSilently = 0; ///< Answers that broke off without an error code, at a daemon that was never killed.
+    std::int64_t pastDeadline
+        = 0; ///< Requests that ended later than DeadlineSlack after their deadline, at a daemon that was never frozen.
+    std::map<std::string, std::string>
+        told; ///< Reported outcome of each POST request, which must not run twice, by `Work-Id`.
 };
 
-/// Daemons by name, with their present addresses and what was done to them.
+/// Daemons by VM name, with their current addresses and the number of failures injected into each.
 class Daemons
 {
 public:
@@ -89,7 +91,7 @@
     std::map<std::string, Entry> m_entries ABSL_GUARDED_BY(m_mutex);
 };
 
-/// One caller that sends requests until told to stop.
+/// Sends requests in a thread of its own until `stop` is set.
 class Caller
 {
 public:
@@ -174,7 +176,8 @@
         ++m_tally.ends[kind + " " + end];
         if (end == "broken" && after.killed == 0) {
             ++m_tally.cutSilently;
-            std::cerr << kind << " broken without a word at " << before.vm << ", status " << answer.status << "\n";
+            std::cerr << kind << " broken off without an error at " << before.vm << ", status " << answer.status
+                      << "\n";
         }
         if (took > core::fromMs(DeadlineMs) + DeadlineSlack && after.frozen == 0) {
             ++m_tally.pastDeadline;
@@ -194,7 +197,7 @@
     std::thread m_thread;
 };
 
-/// Does damage and mends it, one piece at a time or two at once.
+/// Injects failures and repairs them, one or two at a time.
 class Saboteur
 {
 public:
@@ -204,7 +207,7 @@
         , m_random(seed)
     { }
 
-    /// One round: one or two failures, some seconds, mending, some quiet.
+    /// Injects one or two failures, repairs them after 0.5 to 4 s and waits for another 0.5 to 2 s.
     void round()
     {
         std::vector<std::function<void()>> mend;
@@ -230,8 +233,8 @@
     Mend damage()
     {
         const auto engine = m_fleet.engines()[m_random() % m_fleet.engines().size()];
-        // The first daemon of each domain is never killed, and only the last one is frozen, so that some callers can
-        // be held to the strictest account.
+        // In each domain only the second daemon is killed and only the third one is frozen. The checks that a kill or a
+        // freeze switches off for a daemon thus stay on for the others, and the first daemon undergoes all of them.
         const std::string domain = m_random() % 2 == 0 ? "domain-a" : "domain-b";
         switch (m_random() % 7) {
         case 0:
@@ -330,7 +333,7 @@
     return true;
 }
 
-/// Compares what callers were told with what the service counted.
+/// Compares the outcomes reported to callers with the runs that the service counted.
 nlohmann::ordered_json compareRuns(Fleet &fleet, const std::map<std::string, std::string> &told)
 {
     const auto runs = support::call(fleet.process("service").address("listen"), "GET", "/standin/runs").json();
@@ -413,9 +416,9 @@
     options::options_description description("soak - mixed load under random failures");
     description.add_options()("help,h", "show this text")("seconds", options::value<double>()->default_value(180),
                                                           "length")("callers", options::value<int>()->default_value(24),
-                                                                    "callers at once")(
+                                                                    "number of concurrent callers")(
         "seed", options::value<std::uint64_t>()->default_value(1),
-        "of requests and failures")("out", options::value<std::string>(), "write the result as JSON");
+        "seed of the requests and failures")("out", options::value<std::string>(), "write the result as JSON");
     try {
         options::variables_map given;
         options::store(options::parse_command_line(argc, argv, description), given);
--- a/bench/spurlug_load.cpp
+++ b/bench/spurlug_load.cpp
@@ -41,7 +41,7 @@
 constexpr std::size_t MostInFlight = 2048;
 constexpr int Ok = 200;
 
-/// What became of one request.
+/// Result of one request.
 struct Result
 {
     std::int64_t tokens = 0;
@@ -49,11 +49,11 @@
     core::Duration total;
     int status = 0;
     std::string requestId;
-    std::string error; ///< Code of a typed error; empty when the answer ended properly.
-    std::string outcome; ///< That the daemon told with an error.
+    std::string error; ///< Code of a typed error, or the failure of the connection; empty if none was seen.
+    std::string outcome; ///< Outcome that the daemon reported with an error.
     std::string text;
-    bool ended = false; ///< The stream's end was seen.
-    bool whole = false; ///< Every token was there, once, in order.
+    bool ended = false; ///< The end of the stream was received.
+    bool whole = false; ///< Every token was received exactly once and in order.
 };
 
 struct Bucket
@@ -203,13 +203,13 @@
             {"ttftMsP99", quantile(ttft, 0.99)}};
 }
 
-/// An answer that ended properly and is not the expected one: missing, doubled or changed tokens.
+/// Returns whether the stream ended properly but has missing, duplicate or changed tokens.
 bool isWrong(const Result &result)
 {
     return result.ended && !result.whole;
 }
 
-/// A stream that neither ended properly nor told a typed error.
+/// Returns whether the stream neither ended properly nor reported a typed error.
 bool isSilentCut(const Result &result)
 {
     return result.status == Ok && !result.ended && result.error.empty();
@@ -310,11 +310,12 @@
     description.add_options()("help,h", "show this text")(
         "daemon", options::value<std::vector<std::string>>()->multitoken(),
         "caller addresses, HOST:PORT")("experiment", options::value<std::string>(), "experiment file (JSON)")(
-        "text", options::value<std::vector<std::string>>()->multitoken(), "directories whose files make the prompts")(
-        "seconds", options::value<double>(), "overrides the experiment's length")(
+        "text", options::value<std::vector<std::string>>()->multitoken(),
+        "directories of the files that prompts are cut from")("seconds", options::value<double>(),
+                                                              "overrides the experiment's duration")(
         "only-below", options::value<std::int64_t>()->default_value(0),
-        "send only prompts below so many tokens")("out", options::value<std::string>(), "write the report as JSON")(
-        "require-whole", "fail unless every request is answered whole");
+        "send only prompts of fewer tokens; 0: all")("out", options::value<std::string>(), "write the report as JSON")(
+        "require-whole", "fail unless every request is answered completely");
     try {
         options::variables_map given;
         options::store(options::parse_command_line(argc, argv, description), given);
