--- a/bench/corpus.h
+++ b/bench/corpus.h
@@ -15,7 +15,7 @@
 class Corpus
 {
 public:
-    /// \brief Reads up to a few megabytes from the regular files below some directories.
+    /// \brief Reads up to a few megabytes from the regular files in some directories, recursively.
     /// \throws InvalidDocument if they hold too little text.
     explicit Corpus(const std::vector<std::string> &directories);
 
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -53,7 +53,7 @@
     return request;
 }
 
-/// Opens streams and reads them until it is destroyed.
+/// Opens streams and reads them until the object is destroyed.
 class OpenStreams
 {
 public:
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -41,10 +41,10 @@
     std::map<std::string, std::int64_t> ends; ///< Number of requests by kind and result.
     std::int64_t wrong = 0; ///< Complete answers whose text is not the expected one.
     std::int64_t cutSilently = 0; ///< Answers that broke off without an error code, at a daemon that was never killed.
-    std::int64_t pastDeadline
-        = 0; ///< Requests that ended later than DeadlineSlack after their deadline, at a daemon that was never frozen.
-    std::map<std::string, std::string>
-        told; ///< Reported outcome of each POST request, which must not run twice, by `Work-Id`.
+    /// Requests that ended later than DeadlineSlack after their deadline, at a daemon that was never frozen.
+    std::int64_t pastDeadline = 0;
+    /// Reported outcome of each POST request, which must not run twice, by `Work-Id`.
+    std::map<std::string, std::string> told;
 };
 
 /// Daemons by VM name, with their current addresses and the number of failures injected into each.
--- a/standins/cache_events.h
+++ b/standins/cache_events.h
@@ -21,7 +21,7 @@
     Evicted,
 };
 
-/// \brief A cache event. Events are numbered consecutively; a reader recognizes lost events by gaps.
+/// \brief A cache event. Events are numbered consecutively; a gap means that events were lost.
 struct CacheEvent
 {
     std::uint64_t number = 0;
--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -25,8 +25,7 @@
 
 constexpr double MicrosPerSecond = 1e6;
 constexpr std::size_t CacheEventsKept = 4096;
-constexpr std::int64_t LongPriority
-    = 100; // Jobs with this priority value or a higher one are long and not counted as urgent.
+constexpr std::int64_t LongPriority = 100; // Jobs of this or a higher value count as long, not as urgent.
 
 std::int64_t tokensOf(const std::string &prompt, const EngineCosts &costs)
 {
@@ -325,8 +324,8 @@
     return static_cast<double>(chunk) * perToken / share;
 }
 
-/// Computes one chunk of a group's prefill. The duration leaves out the costs that depend on the context; the leader
-/// counts these.
+/// Computes one chunk of a group's prefill as a member, which is thus busy about as long as the leader. Only the leader
+/// counts the costs that depend on the context.
 double EngineModel::shareChunk()
 {
     for (auto &[id, held] : m_reservations) {
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -27,7 +27,7 @@
 /// \brief Published capacities and costs of an engine; see `standins/engine_costs.json`.
 struct EngineCosts
 {
-    std::int64_t kvTokens = 400'000; ///< Size of the KV memory.
+    std::int64_t kvTokens = 400'000; ///< Size of the KV memory in tokens.
     std::int64_t maxStreams = 64; ///< Maximum number of requests that the engine holds at once.
     std::int64_t chunkTokens = 2048; ///< Maximum prompt tokens that a step prefills.
     double prefillMicrosPerToken = 20; ///< Cost of a prompt token at an empty context.
@@ -45,8 +45,8 @@
 /// \brief Reads costs from a JSON file. \throws InvalidDocument
 [[nodiscard]] EngineCosts loadEngineCosts(const std::string &path);
 
-/// \brief Returns the word that an engine generates at a token offset. It depends only on the prompt, not on the
-/// engine. \param seed The spurlug::core::fastHash of the prompt.
+/// \brief Returns the word that an engine generates at an offset; it depends on the prompt but not on the engine.
+/// \param seed The spurlug::core::fastHash of the prompt.
 [[nodiscard]] std::string answerWord(std::uint64_t seed, std::int64_t offset);
 
 /// \brief A generation request to the engine.
--- a/standins/standin_engine.cpp
+++ b/standins/standin_engine.cpp
@@ -94,7 +94,7 @@
         .dump();
 }
 
-/// Runs the engine model in a thread of its own and serves it over HTTP.
+/// Serves the engine model over HTTP. A thread runs the steps of the model, and a mutex guards it.
 class EngineServer
 {
 public:
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -42,7 +42,7 @@
 {
     std::atomic<bool> down{false};
     std::atomic<int> slowMs{0};
-    std::atomic<int> loseAnswers{0}; ///< Number of following updates whose response is cut off after they were processed.
+    std::atomic<int> loseAnswers{0}; ///< Number of further updates that are processed but whose response is cut off.
 };
 
 std::int64_t number(const std::string &text, std::int64_t fallback)
