--- a/tests/integration/callers_test.cpp
+++ b/tests/integration/callers_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what callers see, through real processes
+// spurlug: integration tests of the callers' API with real processes
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// One fleet for the tests that leave it as it was.
+/// Fleet that is shared by the tests that do not change it.
 Fleet &sharedFleet()
 {
     static Fleet fleet;
@@ -156,7 +156,7 @@
 BOOST_AUTO_TEST_CASE(what_cannot_be_in_time_is_refused_at_once)
 {
     auto &fleet = sharedFleet();
-    // An engine of this fleet takes 2.8 ms for the prompt.
+    // An engine of this fleet prefills the prompt in 2.8 ms.
     const auto answer = fleet.complete("domain-a-1", Fleet::promptOf(7000), 5, true, {{"Spurlug-Deadline-Ms", "1"}});
     BOOST_TEST(answer.errorCode() == "deadline_too_short");
     BOOST_TEST(answer.outcome() == "not_run");
--- a/tests/integration/domains_test.cpp
+++ b/tests/integration/domains_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: failure domains together and apart
+// spurlug: integration tests of several failure domains and of their failures
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/tests/integration/main.cpp
+++ b/tests/integration/main.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: integration tests with real processes
+// spurlug: entry point of the integration tests, which run real processes
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/tests/integration/promises_test.cpp
+++ b/tests/integration/promises_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what must always hold, under failure
+// spurlug: integration tests of guarantees that must hold under failures
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -21,7 +21,7 @@
 
 constexpr int LongAnswer = 400;
 
-/// The engine that has a stream; empty while none has.
+/// Returns the name of an engine that has a stream; empty if none has.
 std::string busyEngine(Fleet &fleet)
 {
     for (const auto &engine : fleet.engines()) {
@@ -32,7 +32,7 @@
     return {};
 }
 
-/// A completion that runs while the test does something.
+/// A streamed completion that runs in a thread of its own.
 class Background
 {
 public:
@@ -301,7 +301,7 @@
     fleet.setPlatformFaults({{"down", true}});
     const auto prompt = Fleet::promptOf(1000);
     BOOST_TEST(fleet.complete("domain-a-1", prompt, 5).text() == Fleet::expected(prompt, 5));
-    // A daemon that is replaced meanwhile gets the configuration from its peers, once they speak to it.
+    // A daemon that starts during the outage gets the configuration from its peers once they contact it.
     const auto peer = fleet.process("domain-a-1").address("peers");
     const auto settings = fleet.writeSettings("domain-a-3", "domain-a", {{"seeds", {peer}}});
     fleet.start("domain-a-3", "spurlugd", {"--settings", settings});
--- a/tests/property/claims_property.cpp
+++ b/tests/property/claims_property.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: idempotency keys against an oracle
+// spurlug: property tests of idempotency keys against an oracle
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -18,8 +18,8 @@
 
 BOOST_AUTO_TEST_SUITE(claims_properties)
 
-/// Two owners, lost answers and an absent platform: within the time that keys are kept, no two requests win the same
-/// key unless the first gave it back, and a request that was told "taken" is told by whom.
+/// With two committing owners, lost answers and an unavailable platform, no two requests acquire the same key within
+/// its retention time unless the first one released it. A request that finds a key held is told which request holds it.
 BOOST_AUTO_TEST_CASE(a_key_has_one_winner)
 {
     CHECK_PROPERTY("claims", [] {
@@ -27,8 +27,9 @@
         const FakeApi api(state);
         int number = 0;
         std::int64_t now = 1'000'000;
-        std::map<std::string, std::string> holder; // Oracle: who may run, by key.
-        std::set<std::string> uncertain; // Requests told "unavailable", or that gave their key back: they do not run.
+        std::map<std::string, std::string> holder; // Oracle: the request that may run, by key.
+        std::set<std::string>
+            uncertain; // Requests that were told "unavailable" or released their key and so do not run.
         std::set<std::string> inFlight; // Requests whose answer is not known yet.
         const auto mayRun = [&](const std::string &key, const std::string &requestId) {
             const auto found = holder.find(key);
@@ -45,7 +46,7 @@
             for (const auto &wish : wishes) {
                 inFlight.insert(wish.requestId);
                 if (wish.giveBack && mayRun(wish.name, wish.requestId)) {
-                    holder.erase(wish.name); // It will not run, whether the store learns of it or not.
+                    holder.erase(wish.name); // It will not run, whether or not the release reaches the store.
                     uncertain.insert(wish.requestId);
                 }
             }
@@ -69,7 +70,7 @@
                 }
             }
         };
-        // The other owner commits in the middle of this one's round, between its read and its update.
+        // The other owner commits in the middle of this owner's round, between its read and its update.
         state.otherAuthor = [&] {
             const auto faults = std::exchange(state.faults, {});
             round();
--- a/tests/property/config_property.cpp
+++ b/tests/property/config_property.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: racing authors, lost answers and daemons that follow, against an oracle
+// spurlug: property tests of concurrent configuration changes and of daemons that receive them, against an oracle
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -30,7 +30,8 @@
 
 BOOST_AUTO_TEST_SUITE(config_properties)
 
-/// Each change is in force exactly once if its author was told so, never if told it lost, and generations go up by one.
+/// A change is committed exactly once if its author was told that it succeeded, and never if the author was told that
+/// it failed. Generations increase by one.
 BOOST_AUTO_TEST_CASE(racing_authors_learn_the_truth)
 {
     CHECK_PROPERTY("apply", [] {
@@ -73,7 +74,8 @@
     });
 }
 
-/// Daemons that get roots in any order, twice, late or broken never go back, and end at the newest they could use.
+/// A daemon that receives root objects out of order, repeatedly, late or corrupted never returns to an older
+/// generation, and ends at the newest valid one that it received.
 BOOST_AUTO_TEST_CASE(no_daemon_ever_goes_back)
 {
     CHECK_PROPERTY("follow", [] {
--- a/tests/property/crash_property.cpp
+++ b/tests/property/crash_property.cpp
@@ -1,10 +1,10 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: requests that end their targets, over fleets whose daemons start, are cut off and lose words
+// spurlug: property tests of crash suspects in fleets with restarts, partitions and lost datagrams
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// Both sides of one decision. Work that ends every target is sent few times after the third end has had time to get
-// around; work that is innocent is never kept from running, also where targets end for other reasons.
+// Content that crashes every target may be sent only a few times once the report of the third crash has had time to
+// spread. Harmless content must not stay quarantined, even if targets crash for other reasons while they run it.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -27,10 +27,10 @@
 
 constexpr int StepMs = 50;
 constexpr int Steps = 400; ///< 20 s.
-/// Daemons that were not disturbed for as long must know.
+/// A daemon that was neither restarted nor partitioned for this long must know of the crashes.
 constexpr int ContactSteps = 3000 / StepMs;
-constexpr int RunSteps = 4; ///< From a send until its target ends.
-/// Sends after that time; the users' bound.
+constexpr int RunSteps = 4; ///< From a send until its target crashes.
+/// Maximum number of sends after that time; the users require this limit.
 constexpr int MostLateSends = 3;
 
 const core::Digest Deadly = core::digestOf({"the end"});
@@ -41,17 +41,18 @@
     return absl::FromUnixSeconds(1000) + absl::Milliseconds(step * StepMs);
 }
 
-/// What happens to a fleet. Steps; a cut parts the daemons with an odd number from the others.
+/// The faults in one run of a fleet, with times in steps. A partition separates the daemons with an odd number from the
+/// others.
 struct Course
 {
     int daemons = 1;
-    double loss = 0; ///< Share of datagrams.
-    int longestDelay = 1; ///< Of a datagram, steps; they overtake each other.
-    int copiesEvery = 1; ///< Pause between copies of the deadly work, steps.
+    double loss = 0; ///< Share of datagrams that are lost.
+    int longestDelay = 1; ///< Maximum delay of a datagram in steps; datagrams may be reordered.
+    int copiesEvery = 1; ///< Interval in steps at which the content that crashes targets is sent.
     int cutFrom = 0;
     int cutUntil = 0;
     int killedAt = 0;
-    int killed = 0; ///< Daemons that start anew then.
+    int killed = 0; ///< Number of daemons that restart at that step.
     std::uint32_t seed = 0;
 };
 
@@ -66,7 +67,7 @@
         course.cutFrom = *rc::gen::inRange(0, Steps);
         course.cutUntil = *rc::gen::inRange(course.cutFrom, Steps + 1);
         course.killedAt = *rc::gen::inRange(0, Steps);
-        course.killed = *rc::gen::inRange(0, course.daemons); // Not all: what they know is in no other place.
+        course.killed = *rc::gen::inRange(0, course.daemons); // Not all daemons: crash counts are held only by daemons.
         course.seed = *rc::gen::arbitrary<std::uint32_t>();
         return course;
     });
@@ -100,7 +101,7 @@
         return std::uniform_int_distribution<int>(0, m_course.daemons - 1)(m_random);
     }
 
-    /// Whether nothing has struck a daemon for the time of a contact.
+    /// Whether a daemon was neither restarted nor partitioned within the last ContactSteps.
     [[nodiscard]] bool inTouch(int number, int step) const
     {
         return step - m_disturbedAt[static_cast<std::size_t>(number)] > ContactSteps;
@@ -204,16 +205,17 @@
     const Course m_course;
     std::mt19937 m_random;
     std::vector<std::unique_ptr<Daemon>> m_daemons;
-    std::vector<int> m_disturbedAt; ///< Step at which a daemon was killed or cut off last.
-    std::vector<Word> m_words; ///< On their way.
+    std::vector<int> m_disturbedAt; ///< Last step at which a daemon was restarted or partitioned.
+    std::vector<Word> m_words; ///< Datagrams in transit.
     int m_step = 0;
 };
 
-/// Sends of the deadly work, later than a contact after its third end, by daemons in touch.
+/// Counts the sends of Deadly more than ContactSteps after its third crash, by daemons that were undisturbed for as
+/// long.
 int lateSends(const Course &course)
 {
     Fleet fleet(course);
-    std::vector<std::pair<int, int>> running; // Step at which the target ends, daemon.
+    std::vector<std::pair<int, int>> running; // Step at which the target crashes, daemon.
     std::uint32_t ended = 0;
     int thirdAt = Steps;
     int late = 0;
@@ -241,16 +243,17 @@
 
 BOOST_AUTO_TEST_CASE(work_that_ends_targets_is_hardly_sent_once_the_third_end_had_time_to_get_around)
 {
-    BOOST_TEST(rc::check("late sends are bounded", [] {
+    BOOST_TEST(rc::check("the number of late sends is limited", [] {
         const auto course = *courses();
         RC_ASSERT(lateSends(course) <= MostLateSends);
     }));
 }
 
-// A rack that is lost ends targets under all copies of what many callers ask at that moment; it ran well just before.
+// A rack failure crashes the targets of all copies of a popular request at once, although the same content succeeded
+// shortly before. Successes elsewhere must lift its quarantine.
 BOOST_AUTO_TEST_CASE(work_that_runs_well_all_the_time_is_free_soon_after_many_targets_ended_under_it)
 {
-    BOOST_TEST(rc::check("popular work is not kept from running", [] {
+    BOOST_TEST(rc::check("popular content is not quarantined", [] {
         auto course = *courses();
         course.killed = 0;
         course.cutFrom = course.cutUntil = Steps;
@@ -262,7 +265,7 @@
         for (int step = 0; step < Steps; ++step) {
             fleet.play(step);
             if (step % 10 == 0) {
-                fleet.survive(fleet.draw(), Popular, step); // Twice a second, anywhere.
+                fleet.survive(fleet.draw(), Popular, step); // Succeeds twice a second at random daemons.
             }
             const bool rackLost = step >= first && step < first + racks * 20 && (step - first) % 20 == 0;
             for (int copy = 0; rackLost && copy < copies; ++copy) {
@@ -275,11 +278,11 @@
     }));
 }
 
-// A caller's request sees four targets at most, two in each of two tries. While fewer than three of them end, whatever
-// the reason, it goes on.
+// A caller's request reaches at most four targets, two in each of two tries. It must not be quarantined while fewer
+// than three of them crash, whatever the reason.
 BOOST_AUTO_TEST_CASE(a_request_is_not_kept_from_its_last_targets_by_two_ends)
 {
-    BOOST_TEST(rc::check("two ends keep nothing from running", [] {
+    BOOST_TEST(rc::check("two crashes cause no quarantine", [] {
         auto course = *courses();
         Fleet fleet(course);
         const int first = *rc::gen::inRange(0, Steps / 2);
--- a/tests/property/decoder_fuzz.cpp
+++ b/tests/property/decoder_fuzz.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: decoders of the platform's documents against bytes that no target and no operator wrote
+// spurlug: fuzz tests of the decoders of platform documents and peer states
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -42,7 +42,7 @@
     return core::cat(R"({"metadata":{"name":"i-)", number, R"(","revision":1},"spec":)", spec, "}");
 }
 
-/// A text in which some bytes were replaced, none of them by or from what tells where an object ends.
+/// Replaces some bytes at random, but neither removes nor inserts JSON structure characters.
 std::string withOtherBytes(std::string text)
 {
     const std::string structure = "{}[]\"\\,:";
@@ -56,7 +56,7 @@
     return text;
 }
 
-/// Any bytes in place of some of the text's, what tells where objects end included.
+/// Replaces some bytes at random, including JSON structure characters.
 std::string withAnyBytes(std::string text)
 {
     const auto changes = *rc::gen::inRange(1, 20);
@@ -75,7 +75,7 @@
     return core::cat(R"({"items":[)", items, R"(],"more":false,"at":9})");
 }
 
-/// Names of the objects whose entries name a target.
+/// Returns the names of the objects whose entries are valid targets.
 std::set<std::string> targetsIn(const nlohmann::json &body)
 {
     std::set<std::string> names;
@@ -96,7 +96,7 @@
 
 BOOST_AUTO_TEST_CASE(an_entry_with_other_bytes_spoils_no_other_entry)
 {
-    CHECK_PROPERTY("the other entries hold", [] {
+    CHECK_PROPERTY("the other entries stay readable", [] {
         const auto good = goodEntry().dump();
         const auto spoilt = *rc::gen::inRange(0, Objects);
         std::vector<std::string> objects;
@@ -112,7 +112,7 @@
 
 BOOST_AUTO_TEST_CASE(no_bytes_end_the_process)
 {
-    CHECK_PROPERTY("bodies are read or refused", [] {
+    CHECK_PROPERTY("bodies are decoded or rejected", [] {
         const auto good = goodEntry().dump();
         const auto body = withAnyBytes(bodyOf({objectText(0, good), objectText(1, good), objectText(2, good)}));
         const auto read = platform::readItemList(body, "items");
@@ -124,9 +124,9 @@
 
 BOOST_AUTO_TEST_CASE(a_text_without_bad_bytes_is_utf_8_and_a_good_one_is_unchanged)
 {
-    CHECK_PROPERTY("it can be written as JSON", [](const std::string &bytes) {
+    CHECK_PROPERTY("the text can be written as JSON", [](const std::string &bytes) {
         const auto clean = platform::withoutBadBytes(bytes);
-        static_cast<void>(nlohmann::json(clean).dump()); // Throws where it is no UTF-8.
+        static_cast<void>(nlohmann::json(clean).dump()); // Throws if the text is not valid UTF-8.
         RC_ASSERT(platform::withoutBadBytes(clean) == clean);
     });
     const std::string good = "a \xC3\xA9 \xE2\x82\xAC \xF0\x9F\x9A\xA2";
@@ -135,7 +135,7 @@
 
 BOOST_AUTO_TEST_CASE(a_peer_s_state_of_any_bytes_is_read_or_refused)
 {
-    CHECK_PROPERTY("peers' states", [] {
+    CHECK_PROPERTY("peer states are decoded or rejected", [] {
         relay::PeerState state;
         relay::TargetChange change;
         change.entry = platform::readTarget("i-1", goodEntry());
@@ -153,12 +153,12 @@
     for (const auto &[field, value] : good.items()) {
         auto without = good;
         without.erase(field);
-        const bool mayMiss = field == "born"; // Targets of earlier releases of the platform do not tell it.
+        const bool mayMiss = field == "born"; // Targets of earlier platform releases do not send it.
         if (!mayMiss) {
             BOOST_CHECK_THROW(static_cast<void>(platform::readTarget("i", without)), core::InvalidDocument);
         }
         std::vector<nlohmann::json> others{nullptr, nlohmann::json::array(), -1, true, ""};
-        if (field != "cold_remaining_ms") { // A span may have fractions; whatever is counted, or is a time, is whole.
+        if (field != "cold_remaining_ms") { // A duration may have a fraction; counts and times are integers.
             others.emplace_back(1.5);
         }
         for (const auto &other : others) {
--- a/tests/property/dispatch_property.cpp
+++ b/tests/property/dispatch_property.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: reassembly and at-most-once against oracles
+// spurlug: property tests of token reassembly and at-most-once execution against oracles
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -15,8 +15,8 @@
 
 BOOST_AUTO_TEST_SUITE(dispatch_properties)
 
-/// Whatever comes late, twice, disordered or from an attempt that was given up, the caller gets each token once and in
-/// order, and the answer counts as complete exactly when all of it was handed out.
+/// Even if tokens arrive late, repeatedly, out of order or from an abandoned attempt, the caller gets each token once
+/// and in order. The answer is complete exactly when all its tokens were handed out.
 BOOST_AUTO_TEST_CASE(a_caller_gets_each_token_once_and_in_order)
 {
     CHECK_PROPERTY("reassembly", [] {
@@ -61,8 +61,8 @@
     });
 }
 
-/// The oracle counts how often targets really ran the work. A request that may not be repeated never runs twice, and a
-/// caller is told "not run" only when it truly did not run.
+/// The oracle counts how often targets actually ran the request. A request that must not be repeated never runs twice,
+/// and a request runs twice only after an attempt was reported as "may have run".
 BOOST_AUTO_TEST_CASE(work_marked_once_runs_at_most_once)
 {
     CHECK_PROPERTY("at most once", [] {
@@ -74,7 +74,8 @@
         bool toldMayHaveRun = false;
         while (true) {
             ++attempts;
-            // What really happens, and what an honest client concludes: it says NotRun only with proof.
+            // Draws what happens at the target and derives the result that a client reports; it reports NotRun only if
+            // it knows that the request did not run.
             const bool ran = *rc::gen::arbitrary<bool>();
             const bool answerLost = *rc::gen::arbitrary<bool>();
             runs += ran ? 1 : 0;
--- a/tests/property/engine_property.cpp
+++ b/tests/property/engine_property.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the stand-in engine's memory, and the broker's grants
+// spurlug: property tests of the stand-in engine's memory and of the broker's grants
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,8 +13,8 @@
 
 BOOST_AUTO_TEST_SUITE(engine_properties)
 
-/// Whatever is submitted, cancelled, reserved, released or left to lapse: memory is never overdrawn, every admitted
-/// request is answered whole, and all memory is free in the end.
+/// For any sequence of submissions, reservations, releases and expiries, the engine never uses more memory than it has,
+/// answers every admitted request in full, and ends with all memory free.
 BOOST_AUTO_TEST_CASE(an_engine_loses_no_memory)
 {
     CHECK_PROPERTY("engine memory", [] {
@@ -74,7 +74,8 @@
     });
 }
 
-/// No engine is ever in two grants, groups are whole, and every ask that is kept alive is granted in the end.
+/// No engine is ever in two grants, each grant has all the engines that were requested, and every request that is
+/// repeated until it is granted gets its grant.
 BOOST_AUTO_TEST_CASE(a_broker_never_grants_an_engine_twice_and_serves_everybody)
 {
     CHECK_PROPERTY("broker", [] {
--- a/tests/property/fake_api.h
+++ b/tests/property/fake_api.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: an object API with faults, driven by one thread
+// spurlug: a fake object API that injects faults
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -20,21 +20,22 @@
 namespace core = spurlug::core;
 namespace objects = spurlug::objects;
 
-/// What the fake platform does with the next calls.
+/// \brief Fault that the fake platform injects into a call.
 enum class Fault
 {
     None,
-    Down, ///< The call does nothing and says so.
-    AnswerLost, ///< A write takes effect; its answer is lost.
-    RequestLost, ///< A write takes no effect; its author cannot tell.
-    OtherAuthor, ///< Another author's change comes first.
+    Down, ///< The call has no effect and reports that the platform is unavailable.
+    AnswerLost, ///< A write takes effect, but its answer is lost.
+    RequestLost, ///< A write has no effect, but its author cannot tell.
+    OtherAuthor, ///< Another author's change is committed first.
 };
 
+/// \brief Objects and pending faults of a FakeApi.
 struct FakeState
 {
     std::map<std::string, objects::Object> objects;
     std::int64_t lastVersion = 0;
-    std::map<std::string, std::vector<std::string>> written; ///< All values that took effect, by object.
+    std::map<std::string, std::vector<std::string>> written; ///< All values that took effect, by object name.
     std::vector<Fault> faults;
     std::function<void()> otherAuthor;
     bool nested = false;
@@ -50,7 +51,7 @@
     }
 };
 
-/// An object API with faults, driven by one thread.
+/// \brief Object API that injects the faults of a FakeState; for use by a single thread.
 class FakeApi
 {
 public:
@@ -106,6 +107,7 @@
 
 static_assert(objects::ObjectApi<FakeApi>);
 
+/// \brief Generates lists of faults; a FakeState takes them from the back.
 inline rc::Gen<std::vector<Fault>> genFaults()
 {
     return rc::gen::container<std::vector<Fault>>(rc::gen::weightedElement<Fault>({{8, Fault::None},
--- a/tests/property/fleet_rate_property.cpp
+++ b/tests/property/fleet_rate_property.cpp
@@ -1,12 +1,13 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what targets whose rate the fleet shares get from up to a thousand daemons
+// spurlug: property tests of the rate limits of targets that up to a thousand daemons share
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// No daemon hears of all requests for a target, so a rate of the whole fleet has to follow from what each knows.
-// Wanted: whatever daemons die and start again, and however many of them press, a target gets no more in any span than
-// the operator bears: 1.5 times its rate, and five. The model plays no cuts: a daemon counts the domain that it knew at
-// its largest. The property fails where a daemon takes at least one request for each cold target.
+// No daemon knows of all requests to a target, so each daemon derives its share of a fleet-wide rate from what it
+// knows. Whichever daemons restart, and however many of them send as much as they may, a target must not get more in
+// any span than operators tolerate: 1.5 times its rate, plus five requests. The model has no partitions, because a
+// daemon uses the largest size that it knew of its domain. The property fails if each daemon may send at least one
+// request to each target that is warming up.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -30,15 +31,15 @@
 constexpr int StepMs = 100;
 constexpr int StepsPerSecond = 1000 / StepMs;
 constexpr int Steps = 80;
-constexpr int LearnsAfterMs = 1500; ///< Daemons that are not cut from each other know each other by then.
+constexpr int LearnsAfterMs = 1500; ///< Time after which connected daemons know each other.
 constexpr std::uint32_t TargetHash = 0x1234567;
 
 struct Fleet
 {
-    std::vector<int> daemons; ///< By failure domain.
-    int killedAt = 0; ///< A share of all daemons ends and starts at this step.
+    std::vector<int> daemons; ///< Number of daemons by failure domain.
+    int killedAt = 0; ///< Step at which a share of all daemons restarts.
     double killedShare = 0;
-    int schedulers = 0; ///< That place prompts at the same time.
+    int schedulers = 0; ///< Number of schedulers that place prompts at the same time.
     double perSecond = 0;
 };
 
@@ -89,7 +90,7 @@
     return daemons;
 }
 
-/// Takes all that the giver may give now.
+/// Sends as many requests as the sender may send now and returns their number.
 int press(relay::RecentSends &sends, const relay::RateShare &share, const relay::FleetRate &rate, core::Time now)
 {
     int count = 0;
@@ -100,7 +101,7 @@
     return count;
 }
 
-/// What the target gets in each step while everybody presses.
+/// Returns the number of requests that the target gets in each step while all senders send as much as they may.
 std::vector<int> play(const Fleet &fleet, const relay::FleetRate &rate)
 {
     using relay::RateGiver;
@@ -127,7 +128,7 @@
     return got;
 }
 
-/// Whether the target gets within any span what the operator bears: 1.5 times its rate, and five.
+/// Whether the target gets in each span at most what operators tolerate: 1.5 times its rate, plus five requests.
 bool isBorne(const std::vector<int> &got, const relay::FleetRate &rate)
 {
     const auto span = static_cast<std::ptrdiff_t>(rate.span / absl::Milliseconds(StepMs));
@@ -146,14 +147,14 @@
 
 BOOST_AUTO_TEST_CASE(a_cold_target_gets_what_the_operator_bears_whoever_presses)
 {
-    CHECK_PROPERTY("cold rate", [] {
+    CHECK_PROPERTY("warm-up rate", [] {
         const auto fleet = *fleets();
         const auto rate = relay::ColdStart::rate(fleet.perSecond);
         RC_ASSERT(isBorne(play(fleet, rate), rate));
     });
 }
 
-// The sum over daemons that each kept to a named limit was more than the limit.
+// Daemons that each keep to an announced limit must not exceed it together.
 BOOST_AUTO_TEST_CASE(a_limited_target_gets_what_it_named_whoever_presses)
 {
     CHECK_PROPERTY("limited rate", [] {
@@ -164,7 +165,8 @@
     });
 }
 
-/// It is preferred to refusing: where everybody presses for long, it is not left idle.
+/// Using a target is better than refusing requests: under sustained load, the target gets more than a quarter of its
+/// rate.
 BOOST_AUTO_TEST_CASE(a_target_whose_rate_is_shared_is_not_left_idle)
 {
     for (const int size : {1, 20, 200}) {
--- a/tests/property/main.cpp
+++ b/tests/property/main.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: property tests: random histories against simple oracles
+// spurlug: entry point of the property tests, which compare random histories with simple oracles
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
--- a/tests/property/property.h
+++ b/tests/property/property.h
@@ -7,5 +7,5 @@
 #include <boost/test/unit_test.hpp>
 #include <rapidcheck.h>
 
-/// Fails the test case when the property is falsified; RapidCheck prints the seed and the shrunk counterexample.
+/// \brief Fails the test case if the property is falsified; RapidCheck prints the seed and the shrunk counterexample.
 #define CHECK_PROPERTY(description, ...) BOOST_TEST(rc::check(description, __VA_ARGS__))
--- a/tests/property/repeat_bound_property.cpp
+++ b/tests/property/repeat_bound_property.cpp
@@ -1,15 +1,17 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the bound on repeated sends over fleets in many failure domains, with callers that move
+// spurlug: property tests of the fleet-wide retry budget with several failure domains and moving callers
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// Seen: a fleet of 76 daemons repeated 1,027 sends in ten seconds; its bound was 624.
-// How: all daemons were killed. Each that started knew three others, took a third of the fleet's slack, and the
-// requests of that time met full engines. No daemon hears of all repeats, so each goes by what it knows. Cause: parts
-// of a bound of the whole fleet that follow from what a daemon happens to know at that moment. Two more of the kind are
-// here: sides of a fleet that were cut from each other from their start each take themselves for the fleet; and each
-// daemon pays with the requests of its own last window, so that callers who move pay twice, in their old place and the
-// new one. Proof: these properties fail on the rule that mended the first of the three.
+// No daemon knows of all retries, so each derives its share of the fleet-wide budget from what it knows. These tests
+// guard against three faults of such a rule:
+// - All daemons restart. Each knew three others, took a third of the fleet's slack, and met full engines, so that a
+// fleet
+//   of 76 daemons sent 1,027 retries in ten seconds with a limit of 624.
+// - Parts of a fleet that are partitioned from their start each take themselves for the whole fleet.
+// - Each daemon's budget follows from the requests of its own last window, so that callers who move to other daemons
+//   count twice.
+// A rule that fixes only the first fault fails these tests.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -28,35 +30,36 @@
 
 constexpr int StepMs = 500;
 constexpr int Steps = 80;
-constexpr int LearnsAfterMs = 1500; ///< Daemons that are not cut from each other know each other by then.
+constexpr int LearnsAfterMs = 1500; ///< Time after which connected daemons know each other.
 
 core::Time at(int step)
 {
     return absl::FromUnixSeconds(1000) + absl::Milliseconds(step * StepMs);
 }
 
-/// What happens in one failure domain: callers come, stay and go; targets fail for a while, and then everything is sent
-/// again that may be.
+/// The load and faults of one failure domain. Callers send requests during one period; targets fail during another one,
+/// in which daemons send as many retries as they may.
 struct Domain
 {
     int daemons = 1;
-    int side = 0; ///< Domains of one side hear each other.
-    int callersFrom = 0; ///< Steps.
+    int side = 0; ///< Partition; domains of the same one hear each other.
+    int callersFrom = 0; ///< Step.
     int callersUntil = 0;
-    int requestsPerStep = 0; ///< Of each daemon.
-    int failsFrom = 0; ///< Steps.
+    int requestsPerStep = 0; ///< Number of requests to each daemon.
+    int failsFrom = 0; ///< Step.
     int failsUntil = 0;
 };
 
 struct Fleet
 {
     std::vector<Domain> domains;
-    int killedAt = 0; ///< All daemons end and start at this step.
-    int cutFrom = 0; ///< The sides hear nothing of each other from this step.
-    std::size_t parted = 0; ///< Domain whose daemons hear only their own half of it from that step on.
+    int killedAt = 0; ///< Step at which all daemons restart.
+    int cutFrom = 0; ///< Step from which the sides hear nothing of each other.
+    std::size_t parted = 0; ///< Index of the domain whose daemons hear only their own half of it from that step on.
 };
 
-/// Callers of some domains go to the others at one moment, and targets fail around it.
+/// Generates fleets in which the callers of some domains move to other domains at one step, and targets fail from about
+/// that step on.
 rc::Gen<Fleet> fleetsWithMovingCallers()
 {
     return rc::gen::exec([] {
@@ -109,19 +112,19 @@
 {
     relay::RetryLedger ledger;
     std::size_t domain = 0;
-    int number = 0; ///< Within its domain.
+    int number = 0; ///< Index within its domain.
     int startedAt = -Steps;
-    std::size_t largest = 0; ///< Daemons of its failure domain that it ever knew of.
+    std::size_t largest = 0; ///< Largest number of daemons of its failure domain that it knew at once.
 };
 
-/// What all daemons together did in each step.
+/// Requests and retries of all daemons in each step.
 struct Day
 {
     std::vector<std::int64_t> requests;
     std::vector<std::int64_t> repeats;
 };
 
-/// Daemons of its own domain that a daemon hears, itself included.
+/// Number of daemons of its own domain that a daemon hears, itself included.
 std::size_t heardAtHome(const Daemon &daemon, const Fleet &fleet, int step)
 {
     const auto all = fleet.domains[daemon.domain].daemons;
@@ -130,7 +133,7 @@
     return static_cast<std::size_t>(!parted ? all : daemon.number < half ? half : all - half);
 }
 
-/// Daemons of all other domains that a daemon hears.
+/// Number of daemons of other domains that a daemon hears.
 std::size_t heardElsewhere(const Daemon &daemon, const Fleet &fleet, int step)
 {
     std::size_t heard = 0;
@@ -141,7 +144,7 @@
     return heard;
 }
 
-/// What a daemon knows of its fleet at a step.
+/// What a daemon knows of its fleet's size at a step.
 relay::FleetKnowledge knowledgeOf(Daemon &daemon, const Fleet &fleet, int step)
 {
     const auto lifeMs = (step - daemon.startedAt) * StepMs;
@@ -201,8 +204,8 @@
     return sum;
 }
 
-/// Whether every window keeps the bound: its requests are those of that window, of the one before it or of the one half
-/// a window before it, whichever has the most.
+/// Checks that no window exceeds the retry limit. The limit counts the requests of the window itself, of the previous
+/// one or of the one half a window earlier, whichever has the most.
 void checkBound(const Day &day, const relay::RetryBound &bound)
 {
     const auto window = static_cast<int>(absl::ToInt64Milliseconds(bound.window)) / StepMs;
@@ -220,20 +223,21 @@
 
 BOOST_AUTO_TEST_SUITE(repeat_bound_properties)
 
-/// However many sides a fleet is cut into along its failure domains, one domain in the middle, from its start or later.
+/// The fleet is partitioned between its failure domains into any number of sides, and possibly within one domain, from
+/// its start or later.
 BOOST_AUTO_TEST_CASE(the_slack_is_kept_by_any_number_of_sides_of_failure_domains)
 {
-    CHECK_PROPERTY("slack of sides", [] {
+    CHECK_PROPERTY("slack of partitioned fleets", [] {
         relay::RetryBound bound;
         bound.slack = *rc::gen::inRange(100, 700);
         checkBound(play(*fleets(5, 0), bound), bound);
     });
 }
 
-/// However callers move between daemons, targets fail and daemons restart.
+/// Callers move between daemons while targets fail and daemons restart.
 BOOST_AUTO_TEST_CASE(the_bound_is_kept_when_callers_move_to_other_daemons)
 {
-    CHECK_PROPERTY("ratio of moving callers", [] {
+    CHECK_PROPERTY("retry limit with moving callers", [] {
         relay::RetryBound bound;
         bound.slack = *rc::gen::inRange(20, 300);
         checkBound(play(*fleetsWithMovingCallers(), bound), bound);
--- a/tests/property/retry_property.cpp
+++ b/tests/property/retry_property.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the bound on repeated sends over fleets that start, die and are parted
+// spurlug: property tests of the fleet-wide retry budget with restarts and partitions
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -18,7 +18,7 @@
 
 constexpr int StepMs = 100;
 constexpr int DayMs = 30'000;
-constexpr int LearnsAfterMs = 1500; ///< Daemons of one side of a cut know each other by then.
+constexpr int LearnsAfterMs = 1500; ///< Time after which daemons of one side of a partition know each other.
 
 core::Time at(int ms)
 {
@@ -33,16 +33,16 @@
 
     relay::RetryLedger ledger;
     int startedMs = -60'000;
-    std::size_t largest = 0; ///< Of its life.
+    std::size_t largest = 0; ///< Largest number of daemons that it knew since its start.
 };
 
-/// A fleet whose daemons send again whenever they may. At some moments all are killed, or some one after the other;
-/// once a cut parts it in two sides that know of themselves only.
+/// A fleet whose daemons send as many retries as they may. All daemons restart at some times and one after the other in
+/// a rolling restart; a partition divides the fleet into two sides that know only their own daemons.
 struct Fleet
 {
     int size = 2;
-    std::vector<int> killsMs; ///< Of all daemons.
-    int rollFromMs = 0; ///< One daemon a step restarts from here.
+    std::vector<int> killsMs; ///< Times at which all daemons restart.
+    int rollFromMs = 0; ///< Time from which one daemon per step restarts.
     int cutMs = 0;
     int sideSize = 1;
 };
@@ -61,7 +61,7 @@
     });
 }
 
-/// Repeated sends of all daemons in each step of a day without requests.
+/// Returns the number of retries of all daemons in each step of a run of DayMs without new requests.
 std::vector<int> repeatsOf(const Fleet &fleet, const relay::RetryBound &bound)
 {
     std::vector<Daemon> daemons(static_cast<std::size_t>(fleet.size), Daemon(bound));
@@ -101,10 +101,10 @@
 
 BOOST_AUTO_TEST_SUITE(retry_properties)
 
-/// Whatever each daemon believes of its fleet, all together keep the bound in each window.
+/// Whatever each daemon knows of its fleet, all daemons together stay within the slack in each window.
 BOOST_AUTO_TEST_CASE(the_fleet_s_slack_is_kept_over_starts_kills_of_all_rolling_restarts_and_a_cut)
 {
-    CHECK_PROPERTY("retry bound", [] {
+    CHECK_PROPERTY("slack of the retry budget", [] {
         const auto fleet = *fleets();
         relay::RetryBound bound;
         bound.slack = *rc::gen::inRange(20, 700);
--- a/tests/property/target_life_property.cpp
+++ b/tests/property/target_life_property.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the list of targets after restarts, foreign entries and news in any order
+// spurlug: property tests of the target list with restarts, unreadable entries and updates in any order
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -24,7 +24,7 @@
 constexpr std::int64_t FirstStart = 1'700'000'000'000;
 constexpr int StepMs = 100;
 
-/// What the directory holds under an id.
+/// What the directory stores for a target id.
 struct Held
 {
     std::int64_t startMs = 0;
@@ -33,19 +33,19 @@
     bool present = false;
 };
 
-/// What happens to one target or its entry, one revision each.
+/// An event of one target or its entry; each makes one revision.
 enum class Event
 {
-    Appears, ///< In a new life.
+    Appears, ///< As a new incarnation.
     Drains,
     Goes,
-    Overwritten, ///< By a program that does not know the form of entries.
+    Overwritten, ///< By a program that does not know the format of entries.
     Rewritten, ///< By the target itself, as it does at each heartbeat.
 };
 
 using Directory = std::map<std::string, Held>;
 
-/// A directory's states by revision; revision 0 is empty.
+/// The directory's states by revision; revision 0 is empty.
 using History = std::vector<Directory>;
 
 std::string idOf(int number)
@@ -99,7 +99,7 @@
     if (held.present && !held.readable) {
         change.entry = {};
         change.entry.id = id;
-        change.fault = "its bytes cannot be read";
+        change.fault = "the entry cannot be decoded";
     }
     return change;
 }
@@ -115,7 +115,7 @@
     return list;
 }
 
-/// The entries as of each revision after `from`, up to `to`.
+/// Returns all entries of each revision after `from`, up to and including `to`.
 std::vector<TargetChange> changesBetween(const History &history, std::size_t from, std::size_t to)
 {
     std::vector<TargetChange> changes;
@@ -147,8 +147,8 @@
     return ids;
 }
 
-/// A daemon that gets the history in pieces: whole lists and changes, each from the directory or from a peer that may
-/// be behind.
+/// A daemon that receives the history in pieces: full lists and changes, each from the directory or from a peer whose
+/// data may be outdated.
 class Listener
 {
 public:
@@ -164,7 +164,7 @@
         if (*rc::gen::arbitrary<bool>()) {
             hearList(upTo);
         } else {
-            // Changes go on from what is known, or repeat what a peer knows; they never leave a gap.
+            // Changes continue at the known revision or overlap with it; they never leave a gap.
             const auto from = *rc::gen::inRange<std::size_t>(0, m_known + 1);
             hearChanges(from, std::max(upTo, from));
         }
@@ -219,7 +219,8 @@
     core::Time m_now = Start;
     std::size_t m_known = 0;
     std::map<std::string, std::int64_t> m_newestStart;
-    std::map<std::string, std::int64_t> m_workOf; ///< Start of the life that a peer told work of, by id.
+    std::map<std::string, std::int64_t>
+        m_workOf; ///< Start of the incarnation for which a peer last reported work, by id.
 };
 
 } // namespace
@@ -228,7 +229,7 @@
 
 BOOST_AUTO_TEST_CASE(whatever_order_news_come_in_the_newest_entries_decide_and_no_life_comes_back)
 {
-    CHECK_PROPERTY("the list follows the directory", [] {
+    CHECK_PROPERTY("the target list follows the directory", [] {
         const auto history = drawHistory();
         Listener listener(history);
         const auto pieces = *rc::gen::inRange(0, 12);
--- a/tests/property/target_notice_property.cpp
+++ b/tests/property/target_notice_property.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what targets say of themselves, through entries, answers and peers in any order
+// spurlug: property tests of draining and cooldown notices of targets, from entries, answers and peers in any order
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -29,10 +29,10 @@
 constexpr int Targets = 3;
 constexpr int MostSteps = 400;
 constexpr std::int64_t FirstStart = 1'700'000'000'000;
-/// Leaving lives are remembered for ten minutes after their entries went: the model stays within it.
+/// Draining incarnations are remembered for ten minutes after their entries were removed; the model stays within that.
 constexpr auto LongestStory = absl::Minutes(9);
 
-/// One process of the service, as it is.
+/// The actual state of one process of the service.
 struct Process
 {
     std::string id;
@@ -45,14 +45,14 @@
     }
 };
 
-/// What one daemon was told by the targets themselves, by life.
+/// What the targets themselves told one daemon, by incarnation.
 struct Told
 {
     std::map<std::uint32_t, bool> leaves;
     std::map<std::uint32_t, core::Time> restUntil;
 };
 
-/// A fleet whose daemons hear of targets in any order, choose for themselves and for each other.
+/// A fleet whose daemons learn of targets in any order and choose targets for themselves and for each other.
 class Fleet
 {
 public:
@@ -93,7 +93,7 @@
             restart(drawProcess());
             break;
         case 7:
-            start(daemon); // It forgets what it was told.
+            start(daemon); // A restarted daemon has lost what it was told.
             break;
         case 8:
             choose(daemon, drawDaemon());
@@ -119,7 +119,7 @@
     {
         m_daemons[daemon] = std::make_unique<RelayState>();
         m_daemons[daemon]->context.table = m_table;
-        m_daemons[daemon]->context.random.seed(daemon); // A case must be the same each time it is played.
+        m_daemons[daemon]->context.random.seed(daemon); // A fixed seed makes each case reproducible.
         m_told[daemon] = {};
     }
 
@@ -129,8 +129,8 @@
         process.leaves = false;
     }
 
-    /// An entry of the life that runs, or of an earlier one; the store or a peer may be behind, so it may say "ready"
-    /// of a target that leaves.
+    /// Delivers an entry of the running incarnation or of an earlier one. The store or a peer may be outdated, so that
+    /// the entry may say "ready" for a draining target.
     void hearEntry(std::size_t daemon)
     {
         const auto &process = drawProcess();
@@ -156,7 +156,7 @@
         auto &context = m_daemons[daemon]->context;
         const auto target = context.targets.find(process.id);
         if (!target || target->entry.startMs != process.startMs) {
-            return; // Nobody answers under the name of that life.
+            return; // That incarnation no longer runs and so cannot answer.
         }
         AnswerFacts answer;
         answer.leaving = process.leaves;
@@ -181,7 +181,7 @@
         takeLeavingNews(m_daemons[daemon]->context, news, "peer");
     }
 
-    /// Also the time of a suspension: the daemons' clock goes on meanwhile.
+    /// The time may include a suspension of the VM, in which the daemons' clock continues.
     void passTime()
     {
         const auto span = absl::Milliseconds(*rc::gen::element(1, 50, 500, 3000, 35'000));
@@ -196,7 +196,7 @@
         return !process.leaves && (rest == m_told[daemon].restUntil.end() || rest->second <= m_now);
     }
 
-    /// Whether a life that runs, leaves nobody's list and wants requests of the asker is known where it is chosen.
+    /// Whether the chooser lists a running incarnation that accepts requests from the asker.
     [[nodiscard]] bool someWant(std::size_t asker, std::size_t chooser) const
     {
         for (const auto &process : m_processes) {
@@ -214,7 +214,7 @@
             return lifeHash(process.life()) == target.hash;
         });
         if (!runs) {
-            return; // A list that is old enough names a life that has ended: nothing of it can be reached.
+            return; // An outdated list may name an incarnation that has ended and cannot be reached.
         }
         const auto &told = m_told[asker];
         const auto leaves = told.leaves.find(target.hash);
@@ -223,7 +223,7 @@
         RC_ASSERT(rest == told.restUntil.end() || rest->second <= m_now);
     }
 
-    /// What the asker sends of a grant: the targets that it knows and may use.
+    /// Returns those of the chosen targets that the asker knows and may use.
     [[nodiscard]] std::vector<core::Ref<Target>> usable(std::size_t asker, const ChosenTargets &chosen) const
     {
         const auto &targets = m_daemons[asker]->context.targets;
@@ -243,8 +243,8 @@
         return used;
     }
 
-    /// One daemon chooses for another one, by its own list and what the other one told it with the ask; where that is
-    /// of no use, the other one chooses itself.
+    /// One daemon chooses targets for another one, from its own list and the avoided targets in the request. If the
+    /// asker can use none of them, it chooses itself.
     void choose(std::size_t asker, std::size_t chooser)
     {
         TargetQuery query;
@@ -283,7 +283,7 @@
 
 BOOST_AUTO_TEST_CASE(whatever_is_heard_in_whatever_order_what_a_target_said_of_itself_binds_the_daemon_it_told)
 {
-    CHECK_PROPERTY("targets that leave or rest get nothing, and others are used", [] {
+    CHECK_PROPERTY("draining and cooling-down targets get no requests, and others are used", [] {
         Fleet fleet;
         const auto steps = *rc::gen::inRange(1, MostSteps);
         for (int i = 0; i < steps; ++i) {
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a small fleet of real processes
+// spurlug: small fleet of real processes for tests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -176,7 +176,7 @@
     }
     const auto [code, output] = apply(false);
     if (code != 0) {
-        throw std::runtime_error("the first configuration was refused: " + output);
+        throw std::runtime_error("the initial configuration was rejected: " + output);
     }
     for (const auto &vm : m_daemons) {
         const bool ready = eventually([&] {
@@ -190,7 +190,7 @@
                 && now["peers"].size() + 1 >= static_cast<std::size_t>(shape.daemonsEach);
         });
         if (!ready) {
-            throw std::runtime_error(vm + " did not get ready: " + status(vm).dump());
+            throw std::runtime_error(vm + " is not ready; its status is: " + status(vm).dump());
         }
     }
 }
@@ -256,7 +256,7 @@
     const nlohmann::json entry{{"failureDomain", domain}, {"peerAddress", daemon.address("peers")}};
     const auto answer = call(process("platform").address("listen"), "PUT", "/standin/vms/" + vm, entry.dump());
     if (answer.status != 200) {
-        throw std::runtime_error("the VM list did not take " + vm);
+        throw std::runtime_error("the platform rejected the VM list entry of " + vm);
     }
     return daemon;
 }
@@ -324,7 +324,7 @@
     const auto text = call(admin(vm), "GET", "/metrics").body;
     const auto line = text.find("\nspurlug_" + name + " ");
     if (line == std::string::npos) {
-        throw std::runtime_error("there is no metric " + name);
+        throw std::runtime_error("the daemon does not report the metric " + name);
     }
     return std::stod(text.substr(line + std::string("\nspurlug_ ").size() + name.size()));
 }
@@ -333,7 +333,7 @@
 {
     const auto answer = call(process(proxied + "-proxy").address("admin"), "POST", "/faults", faults.dump());
     if (answer.status != 200) {
-        throw std::runtime_error("the proxy before " + proxied + " did not take the faults");
+        throw std::runtime_error("the fault proxy of " + proxied + " rejected the faults");
     }
 }
 
@@ -341,7 +341,7 @@
 {
     const auto answer = call(process("platform").address("listen"), "POST", "/standin/faults", faults.dump());
     if (answer.status != 200) {
-        throw std::runtime_error("the platform did not take the faults");
+        throw std::runtime_error("the stand-in platform rejected the faults");
     }
 }
 
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a small fleet of real processes
+// spurlug: small fleet of real processes for tests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -16,90 +16,99 @@
 namespace support
 {
 
-/// \brief What a caller got.
+/// \brief HTTP response that a caller received.
 struct Answer
 {
     int status = 0;
     std::map<std::string, std::string> headers;
     std::string body;
-    bool cut = false; ///< The connection ended before the response did.
+    bool cut = false; ///< Whether the request failed or the connection ended before the whole response was received.
 
+    /// \brief The parsed body; a discarded value if it is not JSON.
     [[nodiscard]] nlohmann::json json() const;
-    /// \brief Code of the error told in the body or the stream; empty: none.
+    /// \brief Error code in the body or the stream; empty if there is none.
     [[nodiscard]] std::string errorCode() const;
-    /// \brief Outcome told with the error or in the header.
+    /// \brief Outcome from the header, the error or the comment at the end of a stream; empty if there is none.
     [[nodiscard]] std::string outcome() const;
-    /// \brief Text of a streamed or whole completion.
+    /// \brief Text of a streamed or non-streamed chat completion.
     [[nodiscard]] std::string text() const;
-    /// \brief Whether a stream was brought to its proper end.
+    /// \brief Whether a stream was terminated by `[DONE]`.
     [[nodiscard]] bool streamEnded() const;
 };
 
-/// \brief Sends an HTTP request to `address` and reads the whole answer.
+/// \brief Sends an HTTP request to `address` (`host:port`) and reads the whole response.
 [[nodiscard]] Answer call(const std::string &address, const std::string &method, const std::string &path,
                           const std::string &body = {}, const std::map<std::string, std::string> &headers = {});
 
-/// \brief Waits until `condition` holds. \returns False after a generous time-out.
+/// \brief Polls `condition` until it holds. \returns False if it does not hold within 30 s.
 [[nodiscard]] bool eventually(const std::function<bool()> &condition);
 
-/// \brief How a fleet is laid out.
+/// \brief Size and options of a test fleet.
 struct FleetShape
 {
     std::vector<std::string> domains{"domain-a"};
-    int daemonsEach = 2;
-    int enginesEach = 2;
+    int daemonsEach = 2; ///< Daemons per failure domain.
+    int enginesEach = 2; ///< Engines per failure domain.
     double timeScale = 0.02;
-    bool proxyEngines = false; ///< A fault proxy before each engine.
-    bool proxyService = false; ///< A fault proxy before the plain service.
-    bool proxyPlatform = false; ///< A fault proxy before the platform, for daemons.
-    std::string platformlessDomain; ///< Its daemons know an address of the platform that nobody listens on.
+    bool proxyEngines = false; ///< Whether each engine is behind a fault proxy.
+    bool proxyService = false; ///< Whether the plain service is behind a fault proxy.
+    bool proxyPlatform = false; ///< Whether daemons reach the platform through a fault proxy.
+    std::string platformlessDomain; ///< Failure domain whose daemons cannot reach the platform; empty if none.
     nlohmann::json daemonExtras = nlohmann::json::object(); ///< Merged into each daemon's settings.
     std::int64_t longThresholdTokens = 32'000;
     std::int64_t engineTokens = 400'000;
 };
 
-/// \brief A platform, engines, a plain service and daemons, with a configuration in force.
+/// \brief A platform, engines, a plain service and daemons, with an active configuration.
 class Fleet
 {
 public:
-    static constexpr auto Key = "tester.secret";
+    static constexpr auto Key = "tester.secret"; ///< API key of the organisation `tester`.
 
+    /// \brief Starts all processes and waits until the daemons are ready.
+    /// \throws std::runtime_error if a process does not start, the configuration is rejected or a daemon is not ready.
     explicit Fleet(const FleetShape &shape = {});
     ~Fleet();
 
-    /// \brief Settings of a daemon that is not running yet.
+    /// \brief Writes the settings of a daemon, with `extras` merged into them. \returns The path of the file.
     std::string writeSettings(const std::string &vm, const std::string &domain,
                               const nlohmann::json &extras = nlohmann::json::object());
+    /// \brief Starts a daemon, replacing one of the same name, and adds it to the platform's VM list.
     Process &startDaemon(const std::string &vm, const std::string &domain);
-    /// \brief Starts a program beside the fleet.
+    /// \brief Starts a program under `name`, replacing a process of the same name.
     Process &start(const std::string &name, const std::string &program, const std::vector<std::string> &arguments);
 
-    /// \brief The configuration that a new fleet has; changes to it take effect by `apply`.
+    /// \brief The configuration of the fleet; changes to it take effect with `apply`.
     [[nodiscard]] nlohmann::json &configuration();
-    /// \brief Applies the configuration through spurlugctl. \returns Its exit code and output.
+    /// \brief Applies the configuration through spurlugctl and, if `wait`, waits for the daemons.
+    /// \returns Its exit code and output.
     std::pair<int, std::string> apply(bool wait = true);
 
     [[nodiscard]] Process &process(const std::string &name);
     [[nodiscard]] const std::vector<std::string> &daemons() const;
     [[nodiscard]] const std::vector<std::string> &engines() const;
+    /// \brief The address at which a daemon serves callers.
     [[nodiscard]] std::string caller(const std::string &vm);
+    /// \brief The address of a daemon's admin API.
     [[nodiscard]] std::string admin(const std::string &vm);
     [[nodiscard]] nlohmann::json status(const std::string &vm);
     [[nodiscard]] nlohmann::json engineState(const std::string &engine);
-    /// \brief A counter or gauge of a daemon, by its whole name with labels.
+    /// \brief The value of a daemon's counter or gauge, by its name with labels and without the prefix `spurlug_`.
+    /// \throws std::runtime_error if the daemon does not report the metric.
     [[nodiscard]] double metric(const std::string &vm, const std::string &name);
-    /// \brief Starts a killed engine again at its old address.
+    /// \brief Restarts a killed engine at its previous address.
     void restartEngine(const std::string &engine);
-    /// \brief Sets the faults of the proxy before a program.
+    /// \brief Sets the faults of the fault proxy of a program.
     void setFaults(const std::string &proxied, const nlohmann::json &faults);
-    /// \brief Sets the faults of the platform itself.
+    /// \brief Sets the faults of the stand-in platform.
     void setPlatformFaults(const nlohmann::json &faults);
 
-    /// \brief Sends a chat completion.
+    /// \brief Sends a chat completion request to a daemon and reads its response.
     [[nodiscard]] Answer complete(const std::string &vm, const std::string &prompt, int answerTokens,
                                   bool stream = true, const std::map<std::string, std::string> &headers = {});
-    /// \brief The text that an undisturbed engine answers.
+    /// \brief The text that an engine generates for a prompt if nothing fails.
     [[nodiscard]] static std::string expected(const std::string &prompt, int answerTokens);
+    /// \brief A prompt of `tokens` tokens at four bytes each, which starts with `seed`.
     [[nodiscard]] static std::string promptOf(std::int64_t tokens, const std::string &seed = "x");
 
 private:
--- a/tests/support/process.cpp
+++ b/tests/support/process.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: programs that a test starts, freezes and kills
+// spurlug: child processes of tests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -58,7 +58,7 @@
 {
     auto name = (std::filesystem::temp_directory_path() / "spurlug-test-XXXXXX").string();
     if (mkdtemp(name.data()) == nullptr) {
-        throw std::runtime_error("no temporary directory can be made");
+        throw std::runtime_error("cannot create a temporary directory");
     }
     m_path = name;
 }
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: programs that a test starts, freezes and kills
+// spurlug: child processes of tests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -11,7 +11,7 @@
 namespace support
 {
 
-/// \brief A directory for one test's files, removed at the end of its life.
+/// \brief A directory for the files of one test, which its destructor removes.
 class TemporaryDirectory
 {
 public:
@@ -20,34 +20,37 @@
     TemporaryDirectory(const TemporaryDirectory &) = delete;
     TemporaryDirectory &operator=(const TemporaryDirectory &) = delete;
 
+    /// \brief The path of the file `name` in the directory.
     [[nodiscard]] std::string file(const std::string &name) const;
 
 private:
     std::string m_path;
 };
 
-/// \brief A running program; killed at the end of its life.
+/// \brief A child process, which its destructor kills.
 class Process
 {
 public:
     /// \brief Starts a program of the build and waits until it has bound its addresses.
-    /// \throws std::runtime_error when it ends before.
+    /// \throws std::runtime_error if it exits before or does not start within 30 s.
     Process(const TemporaryDirectory &directory, const std::string &name, const std::string &program,
             const std::vector<std::string> &arguments);
     ~Process();
     Process(const Process &) = delete;
     Process &operator=(const Process &) = delete;
 
-    /// \brief An address that the program bound.
+    /// \brief The address that the program bound for `key`, from its ports file.
     [[nodiscard]] std::string address(const std::string &key) const;
 
+    /// \brief Sends a signal to the process.
     void signal(int number) const;
-    /// \brief Kills the program and waits for its end.
+    /// \brief Sends SIGKILL to the process and waits for its exit.
     void kill();
-    /// \brief Waits for the end. \returns The exit code, or minus the signal's number.
+    /// \brief Waits for the exit of the process. \returns The exit code, or the negated signal number.
     int wait();
 
     [[nodiscard]] int pid() const noexcept;
+    /// \brief What the program wrote to standard output and standard error.
     [[nodiscard]] std::string log() const;
 
 private:
@@ -56,7 +59,7 @@
     nlohmann::json m_ports;
 };
 
-/// \brief Runs a program of the build to its end. \returns Exit code and what it printed.
+/// \brief Runs a program of the build until it exits. \returns The exit code, and the standard output and error output.
 [[nodiscard]] std::pair<int, std::string> runProgram(const std::string &program,
                                                      const std::vector<std::string> &arguments);
 
