--- a/tests/property/claims_property.cpp
+++ b/tests/property/claims_property.cpp
@@ -28,8 +28,8 @@
         int number = 0;
         std::int64_t now = 1'000'000;
         std::map<std::string, std::string> holder; // Oracle: the request that may run, by key.
-        std::set<std::string>
-            uncertain; // Requests that were told "unavailable" or released their key and so do not run.
+        // Requests that were told "unavailable" or released their key and so do not run.
+        std::set<std::string> uncertain;
         std::set<std::string> inFlight; // Requests whose answer is not known yet.
         const auto mayRun = [&](const std::string &key, const std::string &requestId) {
             const auto found = holder.find(key);
--- a/tests/property/repeat_bound_property.cpp
+++ b/tests/property/repeat_bound_property.cpp
@@ -3,14 +3,17 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// No daemon knows of all retries, so each derives its share of the fleet-wide budget from what it knows. These tests
-// guard against three faults of such a rule:
-// - All daemons restart. Each knew three others, took a third of the fleet's slack, and met full engines, so that a
-// fleet
-//   of 76 daemons sent 1,027 retries in ten seconds with a limit of 624.
-// - Parts of a fleet that are partitioned from their start each take themselves for the whole fleet.
-// - Each daemon's budget follows from the requests of its own last window, so that callers who move to other daemons
-//   count twice.
+// No daemon knows of all retries, so each derives its share of the fleet-wide budget from what it knows at that moment.
+// These tests guard against three faults of such a rule:
+//
+// 1. After all daemons were killed, each restarted one knew three others and took a third of the fleet's slack, while
+//    the requests met full engines. A fleet of 76 daemons sent 1,027 retries in ten seconds with a limit of 624.
+//
+// 2. Parts of a fleet that are partitioned from their start each take themselves for the whole fleet.
+//
+// 3. Each daemon's budget follows from the requests of its own last window, so that callers who move count twice, at
+//    their previous daemon and at the new one.
+//
 // A rule that fixes only the first fault fails these tests.
 //
 //----------------------------------------------------------------------------------------------------------------------
@@ -42,7 +45,7 @@
 struct Domain
 {
     int daemons = 1;
-    int side = 0; ///< Partition; domains of the same one hear each other.
+    int side = 0; ///< Side of a partition; domains of one side hear each other.
     int callersFrom = 0; ///< Step.
     int callersUntil = 0;
     int requestsPerStep = 0; ///< Number of requests to each daemon.
--- a/tests/property/target_life_property.cpp
+++ b/tests/property/target_life_property.cpp
@@ -219,8 +219,8 @@
     core::Time m_now = Start;
     std::size_t m_known = 0;
     std::map<std::string, std::int64_t> m_newestStart;
-    std::map<std::string, std::int64_t>
-        m_workOf; ///< Start of the incarnation for which a peer last reported work, by id.
+    /// Start of the incarnation for which a peer last reported work, by id.
+    std::map<std::string, std::int64_t> m_workOf;
 };
 
 } // namespace
--- a/tests/property/target_notice_property.cpp
+++ b/tests/property/target_notice_property.cpp
@@ -181,7 +181,7 @@
         takeLeavingNews(m_daemons[daemon]->context, news, "peer");
     }
 
-    /// The time may include a suspension of the VM, in which the daemons' clock continues.
+    /// The time may include a suspension, during which the daemons' clock continues.
     void passTime()
     {
         const auto span = absl::Milliseconds(*rc::gen::element(1, 50, 500, 3000, 35'000));
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -53,7 +53,8 @@
     bool proxyEngines = false; ///< Whether each engine is behind a fault proxy.
     bool proxyService = false; ///< Whether the plain service is behind a fault proxy.
     bool proxyPlatform = false; ///< Whether daemons reach the platform through a fault proxy.
-    std::string platformlessDomain; ///< Failure domain whose daemons cannot reach the platform; empty if none.
+    /// Failure domain whose daemons get a platform address on which nothing listens; empty if none.
+    std::string platformlessDomain;
     nlohmann::json daemonExtras = nlohmann::json::object(); ///< Merged into each daemon's settings.
     std::int64_t longThresholdTokens = 32'000;
     std::int64_t engineTokens = 400'000;
