--- a/tests/platform/cold_target_test.cpp
+++ b/tests/platform/cold_target_test.cpp
@@ -1,12 +1,11 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: targets that are slow for some seconds after their start
+// spurlug: tests of warm-up: targets that are slow for some seconds after their start
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// Seen: a target that was cold got 27 requests in one second where it bears 14 and 26 break the bound. How: a day on
-// which the targets of a failure domain come back together. Cause: nobody read that a target is cold; a new one has no
-// work, so it was everybody's first choice. Proof: each case fails where coldness is not part of what is known of a
-// target.
+// The tests guard against overloading targets that warm up. When the targets of a failure domain came back together, a
+// target that accepts 14 requests per second while it warms up got 27 in one second; 26 exceed the limit. The daemons
+// ignored the warm-up time, and a new target has no work, so every daemon preferred it.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -21,10 +20,10 @@
 namespace
 {
 
-constexpr auto Spread = absl::Milliseconds(250); // A change in the store is known at a daemon that reads it by then.
+constexpr auto Spread = absl::Milliseconds(250); // Time within which a daemon that reads the store knows of a change.
 constexpr int ColdMs = 4000;
-constexpr double PerSecond = 14; ///< What a cold target bears.
-constexpr double MostPerSecond = PerSecond * 1.5 + 5; ///< Of the users' site: more than this breaks the bound.
+constexpr double PerSecond = 14; ///< Requests that a target accepts per second while it warms up.
+constexpr double MostPerSecond = PerSecond * 1.5 + 5; ///< The limit that users set: more requests than this violate it.
 
 void describeColdness(RelayFleet &fleet)
 {
@@ -35,7 +34,7 @@
     fleet.configure();
 }
 
-/// Most arrivals of a target within any second.
+/// Returns the largest number of requests that reached a target within one second.
 std::size_t mostInASecond(const FakeTarget &target)
 {
     const auto &arrivals = target.arrivals();
@@ -50,7 +49,7 @@
     return most;
 }
 
-/// Sends requests one after the other for a while; the statuses that came back.
+/// Sends requests one after the other for the duration \a span and returns the status codes of the answers.
 net::Task<std::vector<int>> askFor(RelayFleet &fleet, core::Duration span, Ask ask)
 {
     std::vector<int> statuses;
@@ -102,7 +101,7 @@
         }
         co_await net::sleepFor(absl::Milliseconds(2500));
         BOOST_TEST(static_cast<double>(mostInASecond(cold)) <= MostPerSecond);
-        BOOST_TEST(!cold.arrivals().empty()); // It is preferred to refusing.
+        BOOST_TEST(!cold.arrivals().empty()); // A request goes to a target that warms up rather than being refused.
     });
 }
 
@@ -113,7 +112,7 @@
     auto &cold = fleet.addTarget("model");
     cold.behaviour.events = 2;
     auto entry = RelayFleet::entryOf(cold, "model");
-    entry["cold_remaining_ms"] = ColdMs * 2; // Until daemons know each other, nothing may be sent alone.
+    entry["cold_remaining_ms"] = ColdMs * 2; // Daemons must not send on their own until they know each other.
     fleet.store.put("servers", cold.id(), entry);
     fleet.run([&]() -> net::Task<> {
         co_await fleet.ready();
@@ -145,7 +144,7 @@
     describeColdness(fleet);
     auto &back = fleet.addTarget("app");
     auto &warm = fleet.addTarget("app");
-    fleet.announceIn("hall-a", back); // Its entry does not say so yet.
+    fleet.announceIn("hall-a", back); // The entry does not say yet that the target is warming up.
     fleet.announceIn("hall-b", warm);
     fleet.evacuate("hall-a");
     fleet.run([&]() -> net::Task<> {
@@ -158,7 +157,7 @@
     });
 }
 
-// An answer that told an unreadable time ended its caller's connection without a word.
+// An answer with an unreadable warm-up time ended the caller's connection without an answer.
 BOOST_AUTO_TEST_CASE(an_unreadable_time_of_coldness_does_not_cost_the_answer)
 {
     RelayFleet fleet;
--- a/tests/platform/crashing_requests_test.cpp
+++ b/tests/platform/crashing_requests_test.cpp
@@ -1,14 +1,14 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: requests that crash the targets that run them
+// spurlug: tests of requests that crash the targets that run them
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// Seen: a fleet of eight daemons and 18 engines lost 42 and 43 engines to two requests in one day, and with each engine
-// ten to fourteen other requests. How: one request ended every engine that began to run it, within a quarter of a
-// second. Its caller sent it again and again, each time under a new id, to any daemon, and each daemon sent it on to
-// two engines. Cause: a request was judged by its id and for its own life only; no daemon knew that the same work had
-// ended engines before, there or at another daemon. Proof: the sends after the third engine were first sends of new
-// ids, at all daemons alike; the tests below did the same to four daemons.
+// The tests guard against request content that crashes one engine after another. In a fleet of eight daemons and 18
+// engines, two requests crashed 42 and 43 engines in one day, and each crash lost ten to fourteen other requests. Each
+// engine crashed within a quarter of a second after it began to run the request. The caller repeated the request under
+// new ids at any daemon, and each daemon sent it to two engines. The daemons tracked crashes only per request id and
+// only while the request ran, so none knew that the same content had crashed engines before, here or at another
+// daemon. The tests do the same with four daemons.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -27,12 +27,12 @@
 {
 
 constexpr std::size_t Daemons = 4;
-/// A request that ended this many targets is not sent any more.
+/// A request that crashed this many targets is not sent again.
 constexpr std::size_t EndedAtMost = 3;
-/// Between two copies: far more than daemons need to tell each other, far less than callers wait.
+/// Interval between two copies: far longer than daemons need to exchange crash reports, far shorter than callers wait.
 constexpr auto CopyPause = absl::Milliseconds(100);
 
-/// Targets of one service that crash on one body, each followed by another one under a new id.
+/// Targets of one service that crash on one request body. A new target with a new id replaces each crashed one.
 class CrashingService
 {
 public:
@@ -57,7 +57,7 @@
         return m_targets;
     }
 
-    /// Removes the entries of the targets that crashed, and starts as many new ones.
+    /// Removes the entries of the crashed targets and starts as many new targets.
     void replaceCrashed()
     {
         const auto known = m_targets;
@@ -102,7 +102,7 @@
     return ask;
 }
 
-/// Sends copies of a request to all daemons in turn, each when the one before has its answer.
+/// Sends copies of a request to all daemons in turn, each after the answer to the previous one.
 net::Task<std::vector<Got>> sendCopies(RelayFleet &fleet, CrashingService &service, const Ask &ask, int copies)
 {
     std::vector<Got> answers;
@@ -129,7 +129,7 @@
         const auto answers = co_await sendCopies(fleet, engines, chat("the end"), 12);
         BOOST_TEST(engines.crashed() == EndedAtMost);
         const auto &last = answers.back();
-        BOOST_TEST(last.status == 503); // It has not run, and never will.
+        BOOST_TEST(last.status == 503); // The request did not run and will not run.
         BOOST_TEST(std::stod("0" + std::string(last.head.headers.value("Retry-After"))) >= 10);
         for (std::size_t daemon = 0; daemon < Daemons; ++daemon) {
             const auto other = co_await fleet.ask(chat("another question"), daemon);
--- a/tests/platform/evacuation_test.cpp
+++ b/tests/platform/evacuation_test.cpp
@@ -1,11 +1,11 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: failure domains that the operator evacuates
+// spurlug: tests of failure domains that the operator evacuates
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// Seen: 1,170 and 1,456 requests reached targets of a failure domain that had been evacuated, on two deployments. How:
-// a day with one evacuation of 12 s and another to its end. Cause: nobody read evacuations. Proof: all
-// cases but the last fail where they are not followed; the last guards what runs there.
+// The tests guard against sending requests to an evacuated failure domain. On two deployments 1,170 and 1,456 requests
+// reached targets of such a domain, on a day with one evacuation of 12 s and another one that lasted to the end of the
+// day, because the daemons did not read evacuations. The last case checks that running requests continue.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -19,12 +19,12 @@
 namespace
 {
 
-constexpr auto Spread = absl::Milliseconds(250); // A change in the store is known at a daemon that reads it by then.
-/// One that follows another daemon asks it every 0.3 s; the bound on the platform is some seconds.
+constexpr auto Spread = absl::Milliseconds(250); // Time within which a daemon that reads the store knows of a change.
+/// A daemon that learns from another one asks it every 0.3 s; the platform allows some seconds.
 constexpr auto SpreadToFollowers = absl::Milliseconds(900);
 constexpr int Asks = 12;
 
-/// A fleet with a target in each of two failure domains.
+/// A fleet with one target in each of two failure domains.
 struct TwoDomains
 {
     explicit TwoDomains(int daemons = 1, Peers peers = Peers::Apart)
@@ -36,7 +36,7 @@
         fleet.announceIn("hall-b", inB);
     }
 
-    /// Sends some requests, and checks that all are served.
+    /// Sends some requests and checks that all are answered with 200.
     [[nodiscard]] net::Task<> askSome(std::size_t daemon = 0)
     {
         for (int i = 0; i < Asks; ++i) {
@@ -61,12 +61,12 @@
     two.fleet.run([&]() -> net::Task<> {
         co_await two.fleet.ready();
         two.fleet.evacuate("hall-a");
-        two.fleet.evacuate("hall-nowhere"); // No target is there.
+        two.fleet.evacuate("hall-nowhere"); // This failure domain has no target.
         co_await net::sleepFor(Spread);
         co_await two.askSome();
         BOOST_TEST(two.inA.arrivals().empty());
         two.fleet.takeBack("hall-a");
-        two.fleet.evacuate("hall-b"); // They overlap for daemons that hear of one before the other.
+        two.fleet.evacuate("hall-b"); // For a daemon that learns of this change first, the evacuations overlap.
         co_await net::sleepFor(Spread);
         const auto before = two.inB.arrivals().size();
         co_await two.askSome();
@@ -93,12 +93,12 @@
         co_await two.fleet.joined();
         two.fleet.evacuate("hall-a");
         co_await net::sleepFor(SpreadToFollowers);
-        two.fleet.store.mood = StoreMood::Silent; // Calls in progress hear nothing either.
+        two.fleet.store.mood = StoreMood::Silent; // Calls in progress get no answer either.
         for (std::size_t daemon = 0; daemon < 4; ++daemon) {
             co_await two.askSome(daemon);
         }
         BOOST_TEST(two.inA.arrivals().empty());
-        two.fleet.takeBack("hall-a"); // Nobody can know.
+        two.fleet.takeBack("hall-a"); // No daemon can learn of this.
         co_await net::sleepFor(SpreadToFollowers);
         co_await two.askSome(3);
         BOOST_TEST(two.inA.arrivals().empty());
@@ -114,7 +114,7 @@
     TwoDomains two;
     two.fleet.run([&]() -> net::Task<> {
         co_await two.fleet.ready();
-        two.fleet.store.mood = StoreMood::Silent; // Watches hear nothing while it is written.
+        two.fleet.store.mood = StoreMood::Silent; // Watches get no answer while the evacuation is written.
         two.fleet.evacuate("hall-a");
         two.fleet.store.forgetHistory();
         two.fleet.store.mood = StoreMood::Well;
--- a/tests/platform/fake_store.h
+++ b/tests/platform/fake_store.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a stand-in for the platform's store
+// spurlug: a fake of the platform's store for tests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -18,39 +18,40 @@
 namespace spurlug::test
 {
 
-/// \brief How the store treats calls.
+/// \brief How the store answers calls.
 enum class StoreMood
 {
     Well,
-    Busy, ///< 503 to every call.
-    Limited, ///< 429 to every call.
-    Silent, ///< No answer.
-    Reset, ///< Each connection is reset.
+    Busy, ///< Answers 503 to every call.
+    Limited, ///< Answers 429 to every call.
+    Silent, ///< Sends no answer while this is set.
+    Reset, ///< Resets each connection.
 };
 
-/// \brief Objects with revisions, lists, waits and a history that can be forgotten; written from the platform's pages.
+/// \brief Implements the platform's documented store: objects with revisions, lists, watches and a history of changes.
 class FakeStore
 {
 public:
     explicit FakeStore(net::Loop &loop);
 
-    /// \name The operator's and the targets' side
+    /// \name Changes by the operator and by targets
     /// @{
     void put(const std::string &kind, const std::string &name, const nlohmann::json &spec);
-    /// \brief Stores an object that some other program wrote, as these bytes.
+    /// \brief Stores an object as raw bytes, as another program may have written them.
     void putText(const std::string &kind, const std::string &name, const std::string &object);
     void remove(const std::string &kind, const std::string &name);
-    /// \brief Keeps a copy of all objects.
+    /// \brief Takes a snapshot of all objects, the history and the revision.
     void copy();
-    /// \brief Comes back from the copy: what was written since is lost, revisions go on from the copy's.
+    /// \brief Restores the snapshot: later changes are lost, revisions continue from the snapshot's, and a new era
+    /// begins.
     void restore();
-    /// \brief Drops the history: waits from before now get 410.
+    /// \brief Drops the history: watches from an earlier revision get 410.
     void forgetHistory();
     StoreMood mood = StoreMood::Well;
     /// @}
 
     [[nodiscard]] const core::Address &address() const noexcept;
-    /// \brief Calls that came, by path without the query.
+    /// \brief Number of calls per path, without the query.
     [[nodiscard]] const std::map<std::string, int> &calls() const noexcept;
 
 private:
@@ -58,7 +59,7 @@
     {
         nlohmann::json spec;
         std::int64_t revision = 0;
-        std::string text; ///< Stands in answers as it is, if it is not empty.
+        std::string text; ///< Unless empty, answers contain it unchanged instead of the object.
     };
     struct Change
     {
@@ -67,7 +68,7 @@
         nlohmann::json event;
     };
 
-    /// All that a copy holds.
+    /// Contents of a snapshot.
     struct State
     {
         std::map<std::string, std::map<std::string, Object>> kinds;
@@ -80,7 +81,7 @@
     [[nodiscard]] net::Task<net::Response> watch(std::string kind, std::int64_t from, core::Duration wait);
     [[nodiscard]] net::Response list(const std::string &kind) const;
     [[nodiscard]] nlohmann::json objectJson(const std::string &name, const Object &object) const;
-    /// Puts the bytes of `putText` in their places.
+    /// Replaces the placeholders in \a body by the bytes given to `putText`.
     [[nodiscard]] std::string withTexts(std::string body) const;
 
     net::Loop &m_loop;
@@ -90,9 +91,9 @@
     std::int64_t m_revision = 0;
     State m_copy;
     std::int64_t m_era = 1;
-    std::int64_t m_oldest = 0; ///< Changes up to this one are forgotten.
+    std::int64_t m_oldest = 0; ///< Oldest revision from which a watch can start.
     std::map<std::string, int> m_calls;
-    std::map<std::string, std::string> m_texts; ///< By what stands for them in answers.
+    std::map<std::string, std::string> m_texts; ///< Bytes given to `putText`, by their placeholder in answers.
 };
 
 } // namespace spurlug::test
--- a/tests/platform/fake_target.h
+++ b/tests/platform/fake_target.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a stand-in for the platform's targets
+// spurlug: a fake of the platform's targets for tests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -20,76 +20,76 @@
 namespace spurlug::test
 {
 
-/// \brief What a target does with a request.
+/// \brief How a target answers a request.
 struct Behaviour
 {
     enum class Fault
     {
         None,
-        Shed, ///< 503 with the word that it did not begin.
-        Hang, ///< Takes the request and says nothing.
-        LoseAnswer, ///< Runs the request and closes the connection.
-        ResetAnswer, ///< Runs the request and resets the connection.
-        CutBody, ///< Half an answer, then a reset.
-        WrongId, ///< An answer to another request.
+        Shed, ///< Answers 503 and states that the request did not run.
+        Hang, ///< Accepts the request and does not answer.
+        LoseAnswer, ///< Runs the request and closes the connection without an answer.
+        ResetAnswer, ///< Runs the request and resets the connection without an answer.
+        CutBody, ///< Sends half of the body, then resets the connection.
+        WrongId, ///< Answers with the id of another request.
         NoSignature,
         Encoded,
-        Garbage, ///< Bytes that are no answer.
-        BusyUnsaid, ///< 503 without the word that it did not begin.
+        Garbage, ///< Bytes that are not an HTTP answer.
+        BusyUnsaid, ///< Answers 503 without stating whether the request ran.
     };
 
     Fault fault = Fault::None;
     int status = 200;
-    core::Duration work = absl::ZeroDuration(); ///< Before the head.
+    core::Duration work = absl::ZeroDuration(); ///< Time before the head of the answer is sent.
     std::string body = "the answer";
-    int events = 0; ///< More than 0: a stream of so many events.
-    core::Duration gap = absl::Milliseconds(5); ///< Between events.
-    int breakAfter = -1; ///< Resets the connection inside the event after this many of them.
-    int skipAt = -1; ///< Leaves this event out.
-    bool unframed = false; ///< The body ends with the connection.
-    std::string retryAfter; ///< Of a 503, as it stands in the answer; empty: not told.
+    int events = 0; ///< If greater than 0, the answer is a stream of this many events.
+    core::Duration gap = absl::Milliseconds(5); ///< Interval between events.
+    int breakAfter = -1; ///< Resets the connection within the first event whose id is at least this; -1: never.
+    int skipAt = -1; ///< Id of an event that is omitted; -1: none.
+    bool unframed = false; ///< The end of the connection ends the body.
+    std::string retryAfter; ///< Retry-After header of a 503; empty: none.
 };
 
-/// \brief A request that reached a target, run or not.
+/// \brief A request that reached a target, whether it ran or not.
 struct Arrival
 {
     core::Time at;
-    std::string daemon; ///< As the caller named it in `Sent-To`.
+    std::string daemon; ///< Daemon that the caller named in the header `Sent-To`.
     std::string path;
 };
 
-/// \brief One process of a service: records what it ran and follows a script.
+/// \brief One process of a service: records the requests that reach it and answers them as scripted.
 class FakeTarget
 {
 public:
     FakeTarget(net::Loop &loop, std::string id);
 
     Behaviour behaviour;
-    std::vector<Behaviour> script; ///< For the next requests, before `behaviour`.
-    bool leaving = false; ///< It says in all its answers that it ends soon.
-    std::string cold; ///< How much longer it is cold, as it stands in all its answers; empty: not told.
-    std::string limit; ///< Rate that it names in all its answers; empty: none.
-    std::string crashesOn; ///< Body of a request that ends the process once it runs; empty: none does.
-    core::Duration crashAfter = absl::Milliseconds(10); ///< From the begin of such a run.
+    std::vector<Behaviour> script; ///< Used for the next requests, one each, before `behaviour`.
+    bool leaving = false; ///< All answers announce that the target shuts down.
+    std::string cold; ///< Remaining warm-up time header of all answers; empty: none.
+    std::string limit; ///< Rate limit header of all answers; empty: none.
+    std::string crashesOn; ///< Body of a request that crashes the process when it runs; empty: none.
+    core::Duration crashAfter = absl::Milliseconds(10); ///< Time from the start of such a request to the crash.
 
     [[nodiscard]] const std::string &id() const noexcept;
     [[nodiscard]] const core::Address &address() const noexcept;
-    /// \brief Requests that were begun.
+    /// \brief Requests that the target started to run.
     [[nodiscard]] const std::vector<net::Request> &ran() const noexcept;
-    /// \brief All that reached it, orders included; health checks there are none.
+    /// \brief All requests that reached the target, including reserve and release requests. There are no health checks.
     [[nodiscard]] const std::vector<Arrival> &arrivals() const noexcept;
-    /// \brief Orders that named another life than the one that got them.
+    /// \brief Number of reserve and release requests that named another incarnation than the one that got them.
     [[nodiscard]] int misdirectedOrders() const noexcept;
-    /// \brief Requests whose connection ended before their answer did.
+    /// \brief Number of requests whose connection ended before the answer was complete.
     [[nodiscard]] int abandoned() const noexcept;
-    /// \brief Reservations that are held, tokens by id.
+    /// \brief Current memory reservations: tokens by id.
     [[nodiscard]] const std::map<std::string, std::int64_t> &held() const noexcept;
-    /// \brief Stops listening: connections are refused.
+    /// \brief Stops listening: new connections are refused.
     void stop();
-    /// \brief Ends the process: nothing listens any more, and all connections are reset.
+    /// \brief Crashes the process: it stops listening and resets all connections.
     void crash();
-    /// \brief Ends its life without a word: what it works on is never answered and its connections stay open. A new
-    /// life listens at the same address, without anything of the earlier one.
+    /// \brief Replaces the incarnation silently: requests in progress are never answered and their connections stay
+    /// open. The new incarnation listens at the same address and has no reservations.
     void beginAnew(std::string id);
     [[nodiscard]] bool crashed() const noexcept;
 
@@ -104,14 +104,14 @@
 
     net::Loop &m_loop;
     std::string m_id;
-    int m_life = 1; ///< Counted from 1.
+    int m_life = 1; ///< Number of the incarnation, from 1.
     net::Listener m_listener;
     std::vector<net::Request> m_ran;
     std::vector<Arrival> m_arrivals;
     int m_abandoned = 0;
     int m_misdirectedOrders = 0;
     bool m_crashed = false;
-    std::set<core::Ref<net::ServerConnection>> m_connections; ///< Those that are open.
+    std::set<core::Ref<net::ServerConnection>> m_connections; ///< Open connections.
     std::map<std::string, std::int64_t> m_held;
 };
 
--- a/tests/platform/leaving_and_rest_test.cpp
+++ b/tests/platform/leaving_and_rest_test.cpp
@@ -1,16 +1,14 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: targets that say in their answers that they leave, or that they want rest
+// spurlug: tests of targets whose answers announce a shutdown or request a cooldown
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// Seen: requests reached a plain target up to 5.8 s after its answers had said that it leaves, at five of six daemons,
-// while the store was away; and engines that had turned a daemon away and asked for 3 s of rest got four requests and
-// more from it in that time. How: the one began to leave when its entry could not be written, and went on answering;
-// the others turned away all that came, so they looked idle, and each daemon's scheduler chose them again. Cause: what
-// a target says of itself in an answer was not read (leaving), or decoded and used by nobody (rest); the store's entry
-// and a fixed pause of 200 ms stood for it. Proof: no daemon behaved differently after such an answer, whoever had
-// passed it on, and all 102 refused sends had been placed by schedulers, which hear of no answers; the tests below do
-// the same without load, cuts or kills.
+// The tests guard against two failures. While the store was unavailable, five of six daemons sent requests to a plain
+// target for up to 5.8 s after its answers had announced that it drains; its entry in the store could not be updated.
+// Engines that had refused a daemon's request and asked for a cooldown of 3 s got four and more requests from that
+// daemon within that time: they refused everything, so they looked idle and the schedulers chose them again. All 102
+// refused requests had been placed by schedulers, which see no answers. The daemons ignored both announcements and used
+// the store's entry and a fixed backoff of 200 ms instead. The tests need no load, network failures or crashes.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -31,10 +29,10 @@
 namespace
 {
 
-constexpr auto Spread = absl::Milliseconds(250); // A change of the list is known at a daemon by then.
-/// A daemon tells the others by its next heartbeat, 0.3 s apart at the most in a small fleet; one may be lost.
+constexpr auto Spread = absl::Milliseconds(250); // Time within which a daemon knows of a change of the target list.
+/// A daemon reports to the others in its next heartbeat, at most 0.3 s later in a small fleet; one may be lost.
 constexpr auto TellTime = absl::Milliseconds(700);
-/// A daemon that has just started repeats no sends: it does not know its part of the fleet's bound on them.
+/// A daemon that has just started does not retry: it does not know its share of the fleet-wide retry budget.
 constexpr auto RepeatsFrom = absl::Seconds(3);
 
 Ask safe()
@@ -52,7 +50,7 @@
     return ask;
 }
 
-/// Sends a request that names its daemon, so that targets can tell who sent it to them.
+/// Sends a request that names its daemon, so that targets record which daemon sent it.
 net::Task<Got> askOf(RelayFleet &fleet, Ask ask, std::size_t daemon)
 {
     ask.headers.emplace_back("Sent-To", core::cat(daemon));
@@ -71,7 +69,7 @@
     co_return statuses;
 }
 
-/// Requests that one daemon sent to a target.
+/// Returns how many requests one daemon sent to a target.
 std::size_t sentBy(const FakeTarget &target, std::size_t daemon)
 {
     const auto name = core::cat(daemon);
@@ -79,7 +77,7 @@
                                                   [&](const Arrival &arrival) { return arrival.daemon == name; }));
 }
 
-/// Requests that one daemon sent to a target after the first one, and within a time from it.
+/// Returns how many requests one daemon sent to a target after its first one and within \a span of it.
 std::size_t sentAgainWithin(const FakeTarget &target, std::size_t daemon, core::Duration span)
 {
     const auto name = core::cat(daemon);
@@ -103,7 +101,7 @@
     return behaviour;
 }
 
-/// Engines answer with a stream of three events.
+/// Adds an engine that answers with a stream of three events.
 FakeTarget &addEngine(RelayFleet &fleet)
 {
     auto &engine = fleet.addTarget("model");
@@ -127,7 +125,7 @@
         leaver.leaving = true;
         const auto statuses = co_await askInTurn(fleet, safe(), 40, 2);
         BOOST_TEST(statuses.at(200) == 40);
-        // The answer that says so is the last one that each of them gets from it.
+        // The answer that announces the shutdown is the last one that each daemon gets from the target.
         BOOST_TEST(sentBy(leaver, 0) == 1U);
         BOOST_TEST(sentBy(leaver, 1) == 1U);
     });
@@ -190,7 +188,7 @@
         BOOST_TEST(leaver.arrivals().size() == 1U);
         put(FirstStart);
         co_await net::sleepFor(Spread);
-        fleet.store.remove("servers", leaver.id()); // It lapsed, and is written again.
+        fleet.store.remove("servers", leaver.id()); // The entry expires and is written again.
         co_await net::sleepFor(Spread);
         put(FirstStart);
         co_await net::sleepFor(Spread);
@@ -225,7 +223,7 @@
 {
     RelayFleet fleet;
     FakeTarget stranger(fleet.loop, "i-stranger");
-    stranger.leaving = true; // Its answers to requests for the other one get 421.
+    stranger.leaving = true; // It answers requests for the other target with 421.
     auto entry = RelayFleet::entryOf(stranger, "app");
     fleet.store.put("servers", "i-known", entry);
     fleet.run([&]() -> net::Task<> {
@@ -269,7 +267,7 @@
         const auto statuses = co_await askInTurn(fleet, safe(), 60, 2);
         BOOST_TEST(statuses.at(200) == 60);
         for (std::size_t daemon = 0; daemon < 2; ++daemon) {
-            BOOST_TEST(sentBy(resting, daemon) >= 1U); // It asked each of them: what one was asked for binds no other.
+            BOOST_TEST(sentBy(resting, daemon) >= 1U); // A cooldown binds only the daemon that was asked.
             BOOST_TEST(sentAgainWithin(resting, daemon, absl::Milliseconds(1500)) == 0U);
         }
         resting.behaviour = {};
@@ -289,7 +287,7 @@
     second.behaviour = shedding("8");
     fleet.run([&]() -> net::Task<> {
         co_await fleet.ready();
-        co_await askInTurn(fleet, safe(), 2, 1); // Both have turned this daemon away by now.
+        co_await askInTurn(fleet, safe(), 2, 1); // Both targets have refused a request of this daemon now.
         const auto refused = co_await askOf(fleet, safe(), 0);
         BOOST_TEST(refused.status == 503);
         const auto told = std::stod("0" + std::string(refused.head.headers.value("Retry-After")));
@@ -309,7 +307,7 @@
         fleet.run([&]() -> net::Task<> {
             co_await fleet.ready();
             co_await askOf(fleet, safe(), 0);
-            co_await net::sleepFor(absl::Milliseconds(300)); // A full target gets nothing for 200 ms.
+            co_await net::sleepFor(absl::Milliseconds(300)); // A target that refused a request gets none for 200 ms.
             const auto got = co_await askOf(fleet, safe(), 0);
             BOOST_TEST(got.status == 200, "with " << none << ": " << got.status);
             BOOST_TEST(target.arrivals().size() == 2U);
@@ -334,7 +332,7 @@
     BOOST_TEST((read("Thu, 03 Dec 2026 05:00:07 GMT", date).retryAfter == absl::Seconds(7)));
     BOOST_TEST((read("Thu, 03 Dec 2026 04:00:00 GMT", date).retryAfter == absl::ZeroDuration()));
     for (const auto *unreadable : {"soon", "-1", "nan", "inf", "Thu, 03 Dec 2026 05:00:07 GMT"}) {
-        const auto answer = read(unreadable, ""); // A date counts from the answer's own only.
+        const auto answer = read(unreadable, ""); // A date is only valid relative to the answer's Date header.
         BOOST_TEST(!answer.retryAfter.has_value(), unreadable);
         BOOST_TEST(answer.retryAfterUnreadable, unreadable);
     }
--- a/tests/platform/main.cpp
+++ b/tests/platform/main.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: tests of the relay with stand-ins for the platform
+// spurlug: test module of the relay with a fake store and fake targets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -12,7 +12,7 @@
 namespace spurlug::test
 {
 
-/// Writes the daemons' logs to standard output when SPURLUG_TEST_LOG is set, to trace a case that fails.
+/// Writes the daemons' logs to standard output if SPURLUG_TEST_LOG is set, to trace a failing case.
 struct Logs
 {
     Logs()
--- a/tests/platform/overload_test.cpp
+++ b/tests/platform/overload_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: more requests than targets can take
+// spurlug: tests of overload: more requests than targets can accept
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -13,12 +13,11 @@
 
 BOOST_AUTO_TEST_SUITE(overload)
 
-// Seen: memory of 125,744 tokens stayed set aside for 6.8 s after the request that used it was over; 4 s are allowed.
-// How: the engine that should answer a prompt of several engines went dark, in a burst in which the daemon's part of
-// the repeated sends was spent (shifted deployment, longest_prompts_in_a_burst_of_short_ones, varied, seed
-// 418597794268; one hunt of two plays). Cause: a request that could not be sent again waited on for the dead engine
-// until its deadline, and renewed its memory at the others. Proof: this test fails so; the caller waits for its
-// deadline, the memory with it.
+// KV memory of 125,744 tokens stayed reserved for 6.8 s after the request that used it had ended; 4 s are allowed. The
+// engine that should answer a prompt spread over several engines stopped responding in a burst in which the daemon's
+// share of the retry budget was used up (longest_prompts_in_a_burst_of_short_ones, shifted deployment, varied, seed
+// 418597794268). A request that could not be retried waited for the dead engine until its deadline and renewed its
+// reservations at the other engines.
 BOOST_AUTO_TEST_CASE(a_request_whose_engine_is_gone_and_that_may_not_be_repeated_gives_its_memory_back)
 {
     RelayFleet fleet;
@@ -43,7 +42,7 @@
         co_await fleet.ready();
         Ask ask;
         ask.path = "/chat/1";
-        ask.promptTokens = 220'000; // More than one engine holds.
+        ask.promptTokens = 220'000; // More tokens than the memory of one engine holds.
         ask.deadlineMs = 9000;
         bool ended = false;
         Got got;
@@ -63,8 +62,8 @@
         while (!ended) {
             co_await net::sleepFor(absl::Milliseconds(20));
         }
-        BOOST_TEST(got.status == 502); // It may have run.
-        BOOST_TEST(got.body.find("target_silent") != std::string::npos); // Not the deadline, which is far.
+        BOOST_TEST(got.status == 502); // The request may have run.
+        BOOST_TEST(got.body.find("target_silent") != std::string::npos); // The request does not wait for its deadline.
         while (holding() > 0) {
             co_await net::sleepFor(absl::Milliseconds(20));
         }
@@ -108,7 +107,7 @@
         BOOST_TEST(served + refused == Requests);
         BOOST_TEST(served > 0);
         BOOST_TEST(refused > 0);
-        // What was refused did not run.
+        // Refused requests did not run.
         BOOST_TEST(target.ran().size() == static_cast<std::size_t>(served));
     });
 }
@@ -120,7 +119,7 @@
         auto &target = fleet.addTarget("model");
         target.behaviour.events = 3;
     }
-    fleet.configuration["routes"][2]["slo_ms"] = 5000; // Four engines take 3.1 s by their published costs.
+    fleet.configuration["routes"][2]["slo_ms"] = 5000; // By the configured engine costs, four engines take 3.1 s.
     fleet.configuration["routes"][2]["timeout_ms"] = 8000;
     fleet.configure();
     fleet.run([&]() -> net::Task<> {
--- a/tests/platform/rate_limit_test.cpp
+++ b/tests/platform/rate_limit_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: targets that name the rate of requests that they take from the whole fleet
+// spurlug: tests of targets that announce the request rate that they accept from the whole fleet
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -18,14 +18,15 @@
 {
 
 constexpr std::size_t Daemons = 3;
-constexpr auto Learning = absl::Seconds(3); // A daemon that has just started takes no part in a rate of the fleet.
-constexpr auto CountedFrom = absl::Milliseconds(500); // After the first answer that names the limit.
+constexpr auto Learning = absl::Seconds(3); // A daemon that has just started gets no share of a fleet-wide rate.
+constexpr auto CountedFrom = absl::Milliseconds(500); // Time from the announcement until requests are counted.
 constexpr auto Window = absl::Seconds(4);
 constexpr double PerSecond = 1.5;
-constexpr double MostInWindow = 1.5 * PerSecond * 4 + 5; // The users' rule.
+constexpr double MostInWindow = 1.5 * PerSecond * 4 + 5; // The limit that users set.
 
-/// Has callers ask the daemons in turn, each without a pause, until a moment.
-/// \param statuses What they got.
+/// Starts callers that are spread over the daemons; each sends a request 10 ms after its previous answer.
+/// \param until End of the requests.
+/// \param statuses Receives the status codes of all answers.
 void press(RelayFleet &fleet, const Ask &ask, std::size_t callers, core::Time until, std::vector<int> &statuses)
 {
     for (std::size_t i = 0; i < callers; ++i) {
@@ -42,14 +43,14 @@
     }
 }
 
-/// Requests that reached a target within a span.
+/// Returns how many requests reached a target within \a span from \a from.
 std::ptrdiff_t arrivedWithin(const FakeTarget &target, core::Time from, core::Duration span)
 {
     return std::count_if(target.arrivals().begin(), target.arrivals().end(),
                          [&](const Arrival &arrival) { return arrival.at >= from && arrival.at < from + span; });
 }
 
-/// Presses on a target that begins to name its limit, beside one that does not.
+/// Sends more requests than a target accepts that begins to announce its limit, beside a target without a limit.
 net::Task<> checkLimit(RelayFleet &fleet, FakeTarget &limited, const FakeTarget &free, Ask ask)
 {
     co_await fleet.ready();
@@ -61,16 +62,17 @@
     press(fleet, ask, 4 * Daemons, namedAt + CountedFrom + Window, statuses);
     co_await net::sleepFor(CountedFrom + Window + absl::Milliseconds(500));
     BOOST_TEST(static_cast<double>(arrivedWithin(limited, namedAt + CountedFrom, Window)) <= MostInWindow);
-    BOOST_TEST(arrivedWithin(limited, namedAt + CountedFrom, Window) > 0); // It is not left out.
+    BOOST_TEST(arrivedWithin(limited, namedAt + CountedFrom, Window) > 0); // The limited target still gets requests.
     BOOST_TEST(free.arrivals().size() > 100U);
-    BOOST_TEST(std::count(statuses.begin(), statuses.end(), 200) == std::ssize(statuses)); // The other one serves all.
+    // The other target serves the rest.
+    BOOST_TEST(std::count(statuses.begin(), statuses.end(), 200) == std::ssize(statuses));
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(rate_limit)
 
-// Daemons that had been told a plain target's limit went on sending it whatever came.
+// Daemons ignored the rate limit that a plain target had announced to them.
 BOOST_AUTO_TEST_CASE(a_target_gets_the_rate_that_it_named_from_all_daemons_together)
 {
     RelayFleet fleet(Daemons, Peers::Joined);
@@ -81,7 +83,7 @@
     fleet.run([&]() -> net::Task<> { co_await checkLimit(fleet, limited, free, ask); });
 }
 
-// Daemons that had been told an engine's limit sent it whatever the scheduler placed there for all of them.
+// Daemons ignored an announced rate limit of an engine and sent it all requests that the scheduler placed there.
 BOOST_AUTO_TEST_CASE(an_engine_gets_the_rate_that_it_named_whoever_places_prompts)
 {
     RelayFleet fleet(Daemons, Peers::Joined);
@@ -113,7 +115,7 @@
     BOOST_TEST(!codec.readAnswer({}).rateLimitUnreadable);
 }
 
-// A limit that its target does not name any more must not go on for the daemons that were told of it.
+// Daemons must not go on applying a limit that the target no longer announces.
 BOOST_AUTO_TEST_CASE(a_limit_ends_when_answers_do_not_name_it_any_more)
 {
     RelayFleet fleet(Daemons, Peers::Joined);
--- a/tests/platform/relay_fleet.cpp
+++ b/tests/platform/relay_fleet.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a store, targets and relaying daemons in one process, for tests
+// spurlug: a fake store, fake targets and relay daemons in one process, for tests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -19,8 +19,8 @@
 
 constexpr auto LongestTest = absl::Seconds(20);
 
-/// A port that is free now, below those that the kernel hands out: one of those may become the end of some connection
-/// before it is bound again.
+/// Returns a port that is free now and below the kernel's ephemeral ports. An ephemeral port may become the local port
+/// of a connection before the daemon binds it.
 template<typename Protocol>
 std::uint16_t freePort(net::Loop &loop)
 {
@@ -102,7 +102,7 @@
     settings.metricsAddress = tcp();
     settings.peerAddress = {host, freePort<net::asio::ip::udp>(loop)};
     if (joined && !m_daemons.empty()) {
-        settings.peerAddress.port = m_daemons.front().settings.peerAddress.port; // All daemons have the same.
+        settings.peerAddress.port = m_daemons.front().settings.peerAddress.port; // All daemons use the same port.
     }
     for (std::size_t i = 0; joined && i < std::min<std::size_t>(m_daemons.size(), 3); ++i) {
         settings.seeds.push_back(m_daemons[i].settings.controlAddress);
@@ -290,7 +290,7 @@
 
 net::Task<> RelayFleet::joined()
 {
-    constexpr double Rounds = 5; // Each heard all others some times by then.
+    constexpr double Rounds = 5; // Each daemon has heard all others several times by then.
     const auto enough = Rounds * static_cast<double>(m_daemons.size());
     for (std::size_t daemon = 0; daemon < m_daemons.size(); ++daemon) {
         double heard = 0;
@@ -312,7 +312,7 @@
             co_await net::sleepFor(absl::Milliseconds(10));
         }
     }
-    co_await net::sleepFor(absl::Milliseconds(50)); // The list of targets comes with a call of its own.
+    co_await net::sleepFor(absl::Milliseconds(50)); // A separate call reads the target list.
 }
 
 } // namespace spurlug::test
--- a/tests/platform/relay_fleet.h
+++ b/tests/platform/relay_fleet.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a store, targets and relaying daemons in one process, for tests
+// spurlug: a fake store, fake targets and relay daemons in one process, for tests
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -20,20 +20,20 @@
 namespace spurlug::test
 {
 
-/// \brief A caller's request as tests write it.
+/// \brief A caller's request.
 struct Ask
 {
     std::string path = "/plain/1";
     std::string method = "POST";
-    std::string key = "key-1"; ///< Empty: none is sent.
+    std::string key = "key-1"; ///< API key; empty: the request has none.
     std::int64_t deadlineMs = 3000;
     std::string body = "the question";
-    std::int64_t promptTokens = 0; ///< 0: no prompt.
+    std::int64_t promptTokens = 0; ///< 0: the request has no prompt.
     std::int64_t answerTokens = 100;
     std::vector<std::pair<std::string, std::string>> headers;
 };
 
-/// \brief What a caller got.
+/// \brief The answer that a caller got.
 struct Got
 {
     int status = 0; ///< 0: no answer.
@@ -47,10 +47,10 @@
 enum class Peers
 {
     Apart,
-    Joined, ///< Each has an address of its own, and the first three as seeds.
+    Joined, ///< Each daemon has an address of its own and uses the first three as seeds.
 };
 
-/// \brief Runs everything on one event loop; a test is a coroutine on it.
+/// \brief A store, targets and daemons on one event loop; a test is a coroutine on this loop.
 class RelayFleet
 {
 public:
@@ -59,49 +59,50 @@
     explicit RelayFleet(int daemons = 1, Peers peers = Peers::Apart);
     ~RelayFleet();
 
-    /// \brief Runs a test to its end, for 20 s at most; what it throws is thrown here.
+    /// \brief Runs a test to its end, for at most 20 s, and rethrows its exceptions.
     void run(std::function<net::Task<>()> test);
 
     /// \brief Adds a process of a service and its entry in the store.
     FakeTarget &addTarget(const std::string &service, int slots = 16);
-    /// \brief Writes the entry of a target anew.
+    /// \brief Writes the entry of a target, replacing an earlier one.
     void announce(const FakeTarget &target, const std::string &service, const std::string &state = "ready",
                   int slots = 16);
-    /// \brief The entry that a target writes of itself.
-    /// \param startMs Of its life; 0: the entry does not tell.
+    /// \brief Returns the store entry of a target.
+    /// \param startMs Start of the target's incarnation in Unix milliseconds; 0: the entry has none.
     [[nodiscard]] static nlohmann::json entryOf(const FakeTarget &target, const std::string &service,
                                                 const std::string &state = "ready", std::int64_t startMs = 0);
     /// \brief Writes the entry of a target of the service "app" in a failure domain.
-    /// \param coldMs How much longer it is cold.
+    /// \param coldMs Remaining warm-up time in milliseconds.
     void announceIn(const std::string &failureDomain, const FakeTarget &target, int coldMs = 0);
-    /// \brief The operator asks that a failure domain gets nothing more, or takes that back.
+    /// \brief Writes the operator's evacuation of a failure domain.
     void evacuate(const std::string &failureDomain);
+    /// \brief Ends the evacuation of a failure domain.
     void takeBack(const std::string &failureDomain);
     /// \brief Writes the next version of the configuration.
     void configure();
 
-    /// \brief Sends a request over a connection of its own and awaits the answer.
+    /// \brief Sends a request over a new connection and waits for the answer.
     [[nodiscard]] net::Task<Got> ask(Ask ask, std::size_t daemon = 0);
-    /// \brief The request as it is sent.
+    /// \brief Returns the HTTP request for \a ask, with a new id.
     [[nodiscard]] net::Request write(const Ask &ask);
-    /// \brief Waits until every daemon says that it is ready.
+    /// \brief Waits until every daemon reports that it is ready.
     [[nodiscard]] net::Task<> ready();
-    /// \brief Waits until every daemon has heard all others.
+    /// \brief Waits until every daemon has received several heartbeats of the others.
     [[nodiscard]] net::Task<> joined();
-    /// \brief A figure of a daemon's metrics, by its name without prefix; 0 when it is not told.
+    /// \brief Returns the value of a daemon's metric by its name without the prefix; 0 if the metric is missing.
     [[nodiscard]] net::Task<double> figure(std::string name, std::size_t daemon = 0);
-    /// \brief Adds a daemon that knows the first ones.
+    /// \brief Starts another daemon. With `Peers::Joined` its seeds are the first three daemons.
     void addDaemon();
-    /// \brief Begins a daemon's planned stop.
+    /// \brief Starts the graceful shutdown of a daemon.
     void stop(std::size_t daemon = 0);
-    /// \brief Status of a daemon's readiness; 0: no answer.
+    /// \brief Returns the HTTP status of a daemon's readiness check; 0: no answer.
     [[nodiscard]] net::Task<int> readiness(std::size_t daemon = 0);
-    /// \brief Address of a daemon for callers.
+    /// \brief Returns the address at which a daemon accepts callers.
     [[nodiscard]] const core::Address &callers(std::size_t daemon = 0) const;
 
     net::Loop loop;
     FakeStore store;
-    nlohmann::json configuration; ///< Changed by tests before `configure`.
+    nlohmann::json configuration; ///< Tests change it before they call `configure`.
     std::vector<std::unique_ptr<FakeTarget>> targets;
 
 private:
--- a/tests/platform/requests_test.cpp
+++ b/tests/platform/requests_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: requests through a relaying daemon
+// spurlug: tests of requests through a relay daemon
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -15,7 +15,7 @@
 
 using Fault = Behaviour::Fault;
 
-/// Whole text of a stream of `count` events as FakeTarget writes it.
+/// Returns the text of a stream of FakeTarget with the events from \a first up to but not including \a count.
 std::string events(int count, int first = 0)
 {
     std::string text;
@@ -97,7 +97,7 @@
     second.behaviour = broken;
     fleet.run([&]() -> net::Task<> {
         co_await fleet.ready();
-        // The one that gets the request breaks; before it does, the other one is mended.
+        // The target that gets the request breaks the stream; before that, the other one is set not to break it.
         first.behaviour.gap = second.behaviour.gap = absl::Milliseconds(20);
         net::asio::co_spawn(
             fleet.loop,
@@ -128,7 +128,7 @@
         engine->behaviour.events = 3;
         engine->behaviour.work = absl::Milliseconds(2800);
     }
-    fleet.configuration["routes"][2]["gap_aim_ms"] = 1000; // Callers bear long pauses, so also a late first event.
+    fleet.configuration["routes"][2]["gap_aim_ms"] = 1000; // A long gap objective also allows a late first event.
     fleet.configuration["routes"][2]["timeout_ms"] = 6000;
     fleet.configure();
     fleet.run([&]() -> net::Task<> {
@@ -171,7 +171,7 @@
             },
             net::asio::detached);
         auto ask = chat(5000);
-        ask.deadlineMs = 2300; // Silence alone would end the attempt after 2.5 s.
+        ask.deadlineMs = 2300; // The silence timeout would end the attempt only after 2.5 s.
         const auto got = co_await fleet.ask(ask);
         BOOST_TEST(got.whole);
         BOOST_TEST(got.body == events(3));
--- a/tests/platform/restored_store_test.cpp
+++ b/tests/platform/restored_store_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a store that comes back from an older copy of itself
+// spurlug: tests of a store that is restored from a snapshot
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -16,11 +16,12 @@
 namespace
 {
 
-constexpr auto Spread = absl::Milliseconds(250); // A change in the store is known at a daemon that reads it by then.
-/// A follower asks its reader every 0.3 s; one that lost it reads itself after two seconds.
+constexpr auto Spread = absl::Milliseconds(250); // Time within which a daemon that reads the store knows of a change.
+/// A daemon that learns from a directory reader asks it every 0.3 s and reads the store itself two seconds after it
+/// lost the reader.
 constexpr auto FleetSpread = absl::Milliseconds(2500);
 constexpr auto Away = absl::Milliseconds(200);
-constexpr int Churn = 20; ///< Changes that the store loses.
+constexpr int Churn = 20; ///< Number of changes that the store loses.
 
 Ask safe()
 {
@@ -29,7 +30,7 @@
     return ask;
 }
 
-/// Changes of what no daemon reads, so that the store's revisions rise.
+/// Changes an object that no daemon reads, so that the store's revision increases.
 void writeOthers(RelayFleet &fleet, int changes = Churn)
 {
     for (int i = 0; i < changes; ++i) {
@@ -37,7 +38,7 @@
     }
 }
 
-/// The same, and entries that say nothing new.
+/// Also rewrites the entries of all targets with a new `call_seq` only.
 void churn(RelayFleet &fleet)
 {
     writeOthers(fleet);
@@ -48,7 +49,7 @@
     }
 }
 
-/// The store is away for a moment and comes back from its copy.
+/// Makes the store unavailable for a moment and restores its snapshot.
 net::Task<> drill(RelayFleet &fleet)
 {
     fleet.store.mood = StoreMood::Reset;
@@ -57,8 +58,8 @@
     fleet.store.mood = StoreMood::Well;
 }
 
-/// Asks daemons in turn.
-/// \returns How many got 200.
+/// Sends requests to the daemons in turn.
+/// \returns Number of requests that got 200.
 net::Task<int> askAll(RelayFleet &fleet, Ask ask, std::size_t daemons, int requests = 30)
 {
     int served = 0;
@@ -73,7 +74,7 @@
 
 BOOST_AUTO_TEST_SUITE(restored_store)
 
-// A reader took the lists of the store's new era for old ones, and went on using a target that left.
+// A directory reader rejected the lists of the store's new era as old and went on using a target that was draining.
 BOOST_AUTO_TEST_CASE(a_target_that_leaves_after_the_store_came_back_from_a_copy_gets_nothing)
 {
     RelayFleet fleet;
@@ -94,7 +95,7 @@
     });
 }
 
-// A follower took its reader's lists of the new era for old ones.
+// A daemon rejected the lists that its directory reader had of the new era as old.
 BOOST_AUTO_TEST_CASE(followers_take_in_what_their_reader_has_of_the_new_era)
 {
     RelayFleet fleet(3, Peers::Joined);
@@ -116,7 +117,7 @@
     });
 }
 
-// A wait went on from a revision that the store had given out again, and missed what lay before it.
+// A watch continued from a revision that the restored store had reused, and missed the changes before it.
 BOOST_AUTO_TEST_CASE(nothing_is_missed_where_revisions_are_given_out_again)
 {
     RelayFleet fleet;
@@ -127,13 +128,13 @@
         fleet.store.copy();
         churn(fleet);
         co_await net::sleepFor(Spread);
-        fleet.store.restore(); // So short that no call fails.
+        fleet.store.restore(); // The restore is so short that no call fails.
         fleet.announce(leaver, "app", "draining");
         fleet.configuration["routes"][1]["path_prefix"] = "/moved/";
         fleet.configure();
         fleet.evacuate("hall-z");
         writeOthers(fleet, 3 * Churn);
-        co_await net::sleepFor(absl::Milliseconds(1500)); // A wait for the configuration may have begun just before.
+        co_await net::sleepFor(absl::Milliseconds(1500)); // A watch of the configuration may have started just before.
         Ask moved;
         moved.path = "/moved/1";
         const auto served = co_await askAll(fleet, moved, 1);
@@ -142,7 +143,7 @@
     });
 }
 
-// An evacuation of the new era was taken for older than what was known.
+// Daemons rejected an evacuation of the new era as older than the known state.
 BOOST_AUTO_TEST_CASE(an_evacuation_after_the_store_came_back_is_obeyed)
 {
     RelayFleet fleet;
@@ -168,7 +169,7 @@
     });
 }
 
-// An evacuation that the store lost was taken for one that the operator had taken back.
+// Daemons treated an evacuation that the store had lost as ended by the operator.
 BOOST_AUTO_TEST_CASE(an_evacuation_that_the_store_lost_holds_until_the_operator_can_have_written_it_again)
 {
     RelayFleet fleet;
@@ -196,7 +197,7 @@
     });
 }
 
-// A target whose entry the store lost was dropped at once, though it writes its entry again.
+// Daemons dropped a target at once when the store lost its entry, although the target writes its entry again.
 BOOST_AUTO_TEST_CASE(a_target_whose_entry_the_store_lost_serves_on_until_it_is_written_again)
 {
     RelayFleet fleet;
@@ -216,7 +217,7 @@
     });
 }
 
-// A target that was gone came back to life with the store's copy.
+// Daemons used a removed target again because the restored snapshot listed it.
 BOOST_AUTO_TEST_CASE(a_target_that_was_gone_gets_nothing_because_a_copy_lists_it)
 {
     RelayFleet fleet;
@@ -233,7 +234,7 @@
         BOOST_TEST(served == 30);
         BOOST_TEST(gone.arrivals().empty());
         fleet.announce(stays, "app", "draining");
-        auto entry = RelayFleet::entryOf(gone, "app"); // It lives after all, and writes.
+        auto entry = RelayFleet::entryOf(gone, "app"); // The target runs after all and writes its entry.
         entry["slots"] = 8;
         fleet.store.put("servers", gone.id(), entry);
         co_await net::sleepFor(Spread);
--- a/tests/platform/settings_template_test.cpp
+++ b/tests/platform/settings_template_test.cpp
@@ -1,11 +1,10 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the settings file that the platform fills in
+// spurlug: tests of the settings template that the platform fills in
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// Seen: no daemon started on deployments that evacuate nothing: "evacuateMs: expected an integer from 1". How: the
-// first day of a deployment without that bound. Cause: the template wrote 0 for a bound that is not there, and no test
-// reads what the template makes. Proof: the first case fails so.
+// On deployments without evacuations no daemon started: "evacuateMs: expected an integer from 1". The template wrote 0
+// for the missing bound. The tests load the settings that the template generates.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -24,7 +23,7 @@
 
 using namespace spurlug;
 
-/// Fields of the users' example, as JSON.
+/// Returns the fields of the users' example and their values as JSON.
 std::map<std::string, std::string> fields()
 {
     return {{"node_name", "\"front-1\""},
@@ -55,7 +54,8 @@
     return text.str();
 }
 
-/// Fills in what the template uses: fields, a section that stands where its field is given, and the list of domains.
+/// Expands what the template uses: fields, sections that depend on whether their field is given, and the list of
+/// failure domains.
 std::string fill(std::string text, const std::map<std::string, std::string> &values)
 {
     const std::regex section("\\{\\{#((?!zones)[^}]*)\\}\\}([^#]*)\\{\\{/\\1\\}\\}");
--- a/tests/platform/target_life_test.cpp
+++ b/tests/platform/target_life_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: targets that start again under their id, and entries that other programs wrote
+// spurlug: tests of targets that restart under their id, and of store entries that other programs wrote
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -18,18 +18,18 @@
 {
 
 constexpr std::int64_t FirstStart = 1'700'000'000'000;
-constexpr auto Spread = absl::Milliseconds(250); // A change of the list is known at a daemon by then.
+constexpr auto Spread = absl::Milliseconds(250); // Time within which a daemon knows of a change of the target list.
 
-/// An object of the store around a `spec` that may be any bytes.
+/// Returns a store object whose `spec` may be any bytes.
 std::string objectText(const std::string &name, const std::string &spec)
 {
     return core::cat(R"({"metadata":{"name":")", name, R"(","revision":1},"spec":)", spec, "}");
 }
 
-constexpr std::int64_t OverOneEngine = 210'000; ///< Tokens; an engine of these tests has memory for 200,000.
+constexpr std::int64_t OverOneEngine = 210'000; ///< In tokens; an engine of these tests has memory for 200,000.
 constexpr std::size_t Engines = 8;
 
-/// Engines that take requests and never answer.
+/// Adds engines that accept requests and never answer.
 void addHangingEngines(RelayFleet &fleet)
 {
     for (std::size_t i = 0; i < Engines; ++i) {
@@ -42,7 +42,7 @@
     fleet.configure();
 }
 
-/// The engine that was given a request to answer; null when none was.
+/// Returns the engine that got a request to answer; null if there is none.
 FakeTarget *answeringEngine(const RelayFleet &fleet)
 {
     const auto found = std::find_if(fleet.targets.begin(), fleet.targets.end(),
@@ -50,7 +50,7 @@
     return found == fleet.targets.end() ? nullptr : found->get();
 }
 
-/// How many reservations engines hold.
+/// Returns how many memory reservations exist at all engines.
 std::size_t heldIn(const RelayFleet &fleet)
 {
     std::size_t held = 0;
@@ -80,8 +80,8 @@
 
 BOOST_AUTO_TEST_SUITE(target_life)
 
-// Seen: a target that had said that it was leaving and started again under its id got no request any more. Cause: its
-// state was kept by id, and a leaving target stays so. Proof: this test fails where starts are not read.
+// A target that had announced its shutdown and restarted under the same id got no more requests: daemons kept its state
+// by id, and a draining target stays draining.
 BOOST_AUTO_TEST_CASE(a_target_that_was_leaving_and_starts_again_under_its_id_gets_requests)
 {
     RelayFleet fleet;
@@ -98,7 +98,7 @@
         co_await net::sleepFor(Spread);
         const auto again = co_await askOnce(fleet);
         BOOST_TEST(again == 200);
-        // Old news: whoever repeats the entry of the earlier life changes nothing.
+        // The entry of the earlier incarnation changes nothing when it is written again.
         fleet.store.put("servers", target.id(), RelayFleet::entryOf(target, "app", "draining", FirstStart));
         co_await net::sleepFor(Spread);
         const auto still = co_await askOnce(fleet);
@@ -106,8 +106,8 @@
     });
 }
 
-// Seen: entries that lacked fields, or held ones of other types, were used; one with a state that is not known made its
-// target leave for good. Cause: missing fields had defaults. Proof: this test fails with them.
+// Daemons used entries with missing fields or fields of the wrong type, because missing fields had defaults. An entry
+// with an unknown state made its target draining for good.
 BOOST_AUTO_TEST_CASE(an_entry_that_no_target_wrote_names_no_target_and_the_others_hold)
 {
     RelayFleet fleet;
@@ -145,8 +145,8 @@
     });
 }
 
-// Seen: one entry with a byte that is no UTF-8, or one object without a name, lost the whole list. Cause: the body was
-// read as one document. Proof: this test fails so.
+// One entry with a byte that is not UTF-8, or one object without a name, made the whole list unreadable, because the
+// body was parsed as one document.
 BOOST_AUTO_TEST_CASE(bytes_that_cannot_be_read_spoil_only_their_own_entry)
 {
     const std::vector<std::string> objects{
@@ -161,13 +161,13 @@
     for (const auto &object : objects) {
         RelayFleet fleet;
         auto &first = fleet.addTarget("app");
-        fleet.store.putText("servers", "i-bad", object); // In the list that is read at the start.
+        fleet.store.putText("servers", "i-bad", object); // In the list that the daemon reads at its start.
         fleet.run([&]() -> net::Task<> {
             co_await fleet.ready();
             co_await net::sleepFor(Spread);
             const auto atStart = co_await askOnce(fleet);
             BOOST_TEST(atStart == 200, "list with " << object);
-            fleet.store.putText("servers", "i-worse", object); // In a change, beside a good one.
+            fleet.store.putText("servers", "i-worse", object); // The object comes in a change, beside a valid one.
             fleet.announce(first, "app", "draining");
             fleet.addTarget("app");
             co_await net::sleepFor(Spread);
@@ -178,8 +178,8 @@
     }
 }
 
-// Seen (read in the code): a target whose entry came to be unreadable stayed in use with its old one. Wanted: it gets
-// nothing until its next good entry.
+// A target whose entry became unreadable stayed in use with its old entry. It must get no requests until its next valid
+// entry.
 BOOST_AUTO_TEST_CASE(a_target_whose_entry_was_overwritten_gets_nothing_until_its_next_good_entry)
 {
     RelayFleet fleet;
@@ -190,7 +190,7 @@
     fleet.run([&]() -> net::Task<> {
         co_await fleet.ready();
         auto withoutStart = entry;
-        withoutStart.erase("born"); // It had told one.
+        withoutStart.erase("born"); // The earlier entry had a start time.
         const std::vector<std::string> overwritten{objectText(target.id(), "\"\xC3\""), objectText(target.id(), "[]"),
                                                    objectText(target.id(), withoutStart.dump())};
         for (const auto &object : overwritten) {
@@ -203,7 +203,7 @@
             }
             BOOST_TEST(target.ran().size() == before, object);
             fleet.store.put("servers", target.id(), entry);
-            fleet.announce(other, "app", "draining"); // The good entry alone is left.
+            fleet.announce(other, "app", "draining"); // Only the target with the restored entry is left.
             co_await net::sleepFor(Spread);
             const auto back = co_await askOnce(fleet);
             BOOST_TEST(back == 200);
@@ -218,10 +218,9 @@
     });
 }
 
-// Seen (LEAK): an engine went dark with a prompt of 520,000 tokens; the list named a new life at its address 3 s later,
-// and the daemon waited on for the old one and renewed memory at three other engines for ten more seconds. How: four of
-// seven plays of a day with domains without power. Cause: nothing told an attempt that the life it waits for is over.
-// Proof: where no watcher is told of a life's end, the request waits for its deadline.
+// An engine stopped responding while it had a prompt of 520,000 tokens, after its failure domain lost power. The list
+// named a new incarnation at its address 3 s later, but the daemon went on waiting for the old one and renewed memory
+// at three other engines for ten more seconds, because the attempt was not notified that the incarnation had ended.
 BOOST_AUTO_TEST_CASE(a_request_lets_go_when_the_list_names_a_later_life_at_its_target_s_address)
 {
     RelayFleet fleet;
@@ -237,17 +236,16 @@
         BOOST_REQUIRE(engine != nullptr);
         BOOST_TEST(heldIn(fleet) > 0U);
         engine->beginAnew("i-later");
-        fleet.announce(*engine, "model"); // Of the earlier life the list still has its entry.
+        fleet.announce(*engine, "model"); // The list still has the entry of the earlier incarnation.
         co_await net::sleepFor(Spread);
         BOOST_REQUIRE(got.has_value());
-        BOOST_TEST(got->status == 502); // It may have run.
+        BOOST_TEST(got->status == 502); // The request may have run.
         BOOST_TEST(heldIn(fleet) == 0U);
     });
 }
 
-// Seen (LEAK): as above, and before the list told: each check of the silent engine found that its address takes
-// connections, those of the next life. Cause: the check asked for an address. Proof: this test fails where the check
-// does not name the life it asks for.
+// As above, but before the list names the new incarnation: each check of the silent engine succeeded because the next
+// incarnation accepted connections at the same address. The check must name the incarnation that it asks for.
 BOOST_AUTO_TEST_CASE(a_check_of_a_silent_target_asks_for_its_life)
 {
     RelayFleet fleet;
@@ -261,7 +259,7 @@
         co_await net::sleepFor(Spread);
         auto *engine = answeringEngine(fleet);
         BOOST_REQUIRE(engine != nullptr);
-        engine->beginAnew("i-later"); // And no list says so.
+        engine->beginAnew("i-later"); // The list does not name the new incarnation.
         for (int i = 0; i < 40 && !got; ++i) {
             co_await net::sleepFor(absl::Milliseconds(50));
         }
@@ -272,8 +270,8 @@
     });
 }
 
-// Read in the code: a renewal went to an address, so it set memory aside at a later life there, which no request uses
-// and which nobody gives back before it lapses. Proof: this test fails where orders do not name the life they are for.
+// A renewal that names only an address reserves memory at a later incarnation there; no request uses that memory, and
+// it is not released before it expires. Reserve requests must name the incarnation that they are for.
 BOOST_AUTO_TEST_CASE(memory_is_not_renewed_at_a_later_life_and_the_request_that_needs_it_lets_go)
 {
     RelayFleet fleet;
--- a/tests/platform/trust_test.cpp
+++ b/tests/platform/trust_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: keys, targets that leave and planned stops while the store fails
+// spurlug: tests of API keys, draining targets and graceful shutdown, also while the store fails
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -67,9 +67,9 @@
     }
     fleet.run([&]() -> net::Task<> {
         co_await fleet.ready();
-        co_await net::sleepFor(absl::Milliseconds(300)); // All daemons have read everything.
+        co_await net::sleepFor(absl::Milliseconds(300)); // By then all daemons have read the whole store.
         const auto before = fleet.store.calls();
-        constexpr int Spans = 8; // As many waits for the configuration as fit; those for targets are longer.
+        constexpr int Spans = 8; // Number of watches of the configuration that fit in; those for targets last longer.
         co_await net::sleepFor(absl::Milliseconds(1200) * Spans);
         int calls = 0;
         for (const auto &[path, count] : fleet.store.calls()) {
@@ -129,7 +129,8 @@
         fleet.store.mood = StoreMood::Silent;
         co_await net::sleepFor(absl::Milliseconds(5000));
         fleet.store.mood = StoreMood::Well;
-        co_await net::sleepFor(absl::Milliseconds(3500)); // Entries that lapsed are back within 2 s, or gone.
+        // Expired entries are written again within 2 s, or their targets are gone.
+        co_await net::sleepFor(absl::Milliseconds(3500));
         fleet.store.remove("servers", leaving.id());
         co_await net::sleepFor(absl::Milliseconds(300));
         const auto before = leaving.ran().size();
@@ -216,9 +217,8 @@
     });
 }
 
-// Seen: after a kill of all 295 daemons 340 requests were refused as not_ready by daemons that were 2 to 37 ms old;
-// each had its configuration within 62 ms. Cause: a daemon without a configuration refused at once, whether one was on
-// its way or not. Proof: this test, and the ages in the logs.
+// After a kill of all 295 daemons, daemons that had started 2 to 37 ms before refused 340 requests as not_ready; each
+// had its configuration within 62 ms. A daemon without a configuration refused at once, even while it was reading one.
 BOOST_AUTO_TEST_CASE(a_request_that_comes_before_the_first_configuration_is_served_when_it_is_there)
 {
     RelayFleet fleet;
