--- a/tests/platform/cold_target_test.cpp
+++ b/tests/platform/cold_target_test.cpp
@@ -112,7 +112,8 @@
     auto &cold = fleet.addTarget("model");
     cold.behaviour.events = 2;
     auto entry = RelayFleet::entryOf(cold, "model");
-    entry["cold_remaining_ms"] = ColdMs * 2; // Daemons must not send on their own until they know each other.
+    // Doubled because a daemon sends nothing on its own to such a target before it knows the fleet.
+    entry["cold_remaining_ms"] = ColdMs * 2;
     fleet.store.put("servers", cold.id(), entry);
     fleet.run([&]() -> net::Task<> {
         co_await fleet.ready();
--- a/tests/platform/restored_store_test.cpp
+++ b/tests/platform/restored_store_test.cpp
@@ -17,8 +17,8 @@
 {
 
 constexpr auto Spread = absl::Milliseconds(250); // Time within which a daemon that reads the store knows of a change.
-/// A daemon that learns from a directory reader asks it every 0.3 s and reads the store itself two seconds after it
-/// lost the reader.
+/// A daemon that learns from a directory reader asks it every 0.3 s. If the reader fails, the daemon reads the store
+/// itself after two seconds.
 constexpr auto FleetSpread = absl::Milliseconds(2500);
 constexpr auto Away = absl::Milliseconds(200);
 constexpr int Churn = 20; ///< Number of changes that the store loses.
