--- a/tests/platform/relay_fleet.h
+++ b/tests/platform/relay_fleet.h
@@ -83,7 +83,7 @@
 
     /// \brief Sends a request over a new connection and waits for the answer.
     [[nodiscard]] net::Task<Got> ask(Ask ask, std::size_t daemon = 0);
-    /// \brief Returns the HTTP request for \a ask, with a new id.
+    /// \brief Returns the HTTP request that is sent for a caller's request, with a new id.
     [[nodiscard]] net::Request write(const Ask &ask);
     /// \brief Waits until every daemon reports that it is ready.
     [[nodiscard]] net::Task<> ready();
@@ -91,7 +91,7 @@
     [[nodiscard]] net::Task<> joined();
     /// \brief Returns the value of a daemon's metric by its name without the prefix; 0 if the metric is missing.
     [[nodiscard]] net::Task<double> figure(std::string name, std::size_t daemon = 0);
-    /// \brief Starts another daemon. With `Peers::Joined` its seeds are the first three daemons.
+    /// \brief Starts another daemon. If the daemons know each other, its seeds are the first three.
     void addDaemon();
     /// \brief Starts the graceful shutdown of a daemon.
     void stop(std::size_t daemon = 0);
@@ -102,7 +102,7 @@
 
     net::Loop loop;
     FakeStore store;
-    nlohmann::json configuration; ///< Tests change it before they call `configure`.
+    nlohmann::json configuration; ///< Tests change it before they write the next version.
     std::vector<std::unique_ptr<FakeTarget>> targets;
 
 private:
--- a/tests/platform/requests_test.cpp
+++ b/tests/platform/requests_test.cpp
@@ -15,7 +15,7 @@
 
 using Fault = Behaviour::Fault;
 
-/// Returns the text of a stream of FakeTarget with the events from \a first up to but not including \a count.
+/// Returns the text of a FakeTarget stream with the events of an id range; its end is exclusive.
 std::string events(int count, int first = 0)
 {
     std::string text;
