--- a/tests/unit/control_test.cpp
+++ b/tests/unit/control_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: roles, sources and the scheduler
+// spurlug: tests of roles, configuration sources and the scheduler
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -35,7 +35,7 @@
     return {vm, domain, share, membership::DaemonState::Serving, {"127.0.0.1", 1}, {"127.0.0.1", 2}};
 }
 
-/// A fleet of several failure domains, a few larger VMs in each.
+/// Returns the members of a fleet with several failure domains and three larger VMs in each.
 std::vector<Member> fleet(int daemons, int domains)
 {
     std::vector<Member> members;
@@ -50,7 +50,7 @@
     return holders.empty() ? "" : holders.front().vm;
 }
 
-/// A scheduler with engines of 10 slots, as a large fleet has them.
+/// A scheduler with engines of 10 slots each, as in a large fleet.
 struct SchedulerState
 {
     explicit SchedulerState(int engines)
@@ -177,7 +177,7 @@
     fresh.contactAge = absl::Milliseconds(500);
     BOOST_REQUIRE(choice.answered(fresh, at(2)).has_value());
     BOOST_TEST(!choice.next(absl::InfinitePast(), at(100)).has_value()); // Not due yet.
-    // From here on one in two readers is silent, and the others have lost the directory.
+    // From here on every second query stays unanswered; the other readers have lost the directory.
     for (int ms = 400; ms < 2000; ms += 50) {
         if (const auto question = choice.next(absl::InfinitePast(), at(ms))) {
             asked.insert(question->source.vm);
@@ -190,8 +190,8 @@
             }
         }
     }
-    BOOST_TEST(asked.size() == 4U); // Two at home, one of each other domain.
-    BOOST_TEST(!choice.readsItself(at(1000))); // What it learnt is good for a while.
+    BOOST_TEST(asked.size() == 4U); // Two of the local domain and one of each other domain.
+    BOOST_TEST(!choice.readsItself(at(1000))); // The confirmation received at 2 ms is still recent enough.
     BOOST_TEST(choice.readsItself(at(4000)));
 }
 
@@ -204,7 +204,7 @@
         static_cast<void>(choice.next(absl::InfinitePast(), at(ms)));
         BOOST_TEST(choice.isolated() == (ms >= 450));
     }
-    const auto question = choice.next(absl::InfinitePast(), at(3000)); // Those that were silent are asked again.
+    const auto question = choice.next(absl::InfinitePast(), at(3000)); // Readers that did not answer are queried again.
     BOOST_REQUIRE(question.has_value());
     control::ProofAnswer answer;
     answer.vm = question->source.vm;
@@ -237,11 +237,12 @@
     answer.number = question->number + 1;
     BOOST_TEST(!choice.answered(answer, at(10)).has_value());
     answer.number = question->number;
-    BOOST_TEST((choice.answered(answer, at(90)) == at(0))); // A late answer proves nothing later than its question.
+    BOOST_TEST(
+        (choice.answered(answer, at(90)) == at(0))); // The data is as fresh as the query, however late the answer.
     BOOST_TEST(!choice.answered(answer, at(91)).has_value());
 }
 
-/// Short prompts of many daemons in the same instant, none of which has any work that another one knows of.
+/// Many daemons request placements of short prompts at the same instant, before any of them has reported work.
 BOOST_AUTO_TEST_CASE(a_burst_over_hundreds_of_daemons_fills_no_engine_beyond_its_slots)
 {
     constexpr int Engines = 150;
@@ -264,7 +265,8 @@
     }
     BOOST_TEST(most <= SchedulerState::Slots);
     BOOST_TEST(atEngine.size() >= static_cast<std::size_t>(Engines) * 9 / 10);
-    BOOST_TEST(queued > 0); // The engines' reading is spoken for: the rest waits here, not there.
+    BOOST_TEST(queued
+               > 0); // All prefill capacity is granted; the rest waits in the scheduler's queue, not at the engines.
 }
 
 BOOST_AUTO_TEST_CASE(a_grant_counts_until_its_daemon_reports_the_work_or_says_nothing)
@@ -280,13 +282,13 @@
     work.work.requests = 1;
     report.work = {work};
     state.scheduler.report(report, at(10));
-    BOOST_TEST(load() == 1); // Not counted twice.
-    state.scheduler.report(reportOf("a", 1, 0), at(11)); // The same number again: dropped.
+    BOOST_TEST(load() == 1); // The grant and the reported work count once.
+    state.scheduler.report(reportOf("a", 1, 0), at(11)); // A report with a known sequence number is ignored.
     BOOST_TEST(load() == 1);
     state.scheduler.report(reportOf("a", 2, first.grant), at(20));
     BOOST_TEST(load() == 0);
     BOOST_REQUIRE((state.scheduler.ask(shortAsk("b", 1), at(30)).kind == AnswerKind::Granted));
-    state.scheduler.forgetSilent(at(2000)); // That daemon was killed.
+    state.scheduler.forgetSilent(at(2000)); // The daemon was killed and never reported the work.
     BOOST_TEST(load() == 0);
 }
 
@@ -341,11 +343,11 @@
     BOOST_REQUIRE(grants.size() == 1U);
     BOOST_TEST(grants.front().first == "b");
     BOOST_TEST(state.scheduler.waiting() == 1U);
-    state.scheduler.forgetSilent(at(1000)); // It was not repeated: its caller is gone.
+    state.scheduler.forgetSilent(at(1000)); // The request was not repeated, so its caller is gone.
     BOOST_TEST(state.scheduler.waiting() == 0U);
 }
 
-/// Daemons that were killed while their asks waited, and others that go on asking.
+/// Daemons are killed while their requests wait, and others keep sending new ones.
 BOOST_AUTO_TEST_CASE(asks_of_daemons_that_are_gone_do_not_pile_up)
 {
     SchedulerState state(1);
@@ -363,11 +365,11 @@
         state.scheduler.forgetSilent(at(ms));
     }
     BOOST_TEST(wakes == 100);
-    BOOST_TEST(state.scheduler.waiting() <= 51U); // Half a second of them.
+    BOOST_TEST(state.scheduler.waiting() <= 51U); // The requests of the last half second.
 }
 
-/// More long prompts than the engines can read in time: an older one that is late already, and one that still can be
-/// in time.
+/// There are more long prompts than the engines can prefill in time: an older one has missed its objective already, and
+/// a newer one can still meet it.
 BOOST_AUTO_TEST_CASE(a_long_prompt_that_will_be_late_steps_back_for_one_that_can_be_in_time)
 {
     SchedulerState state(16);
@@ -413,13 +415,14 @@
     state.scheduler.report(report, at(0));
     BOOST_TEST(target->load(at(0)).partMicros == 250'000);
     BOOST_TEST(target->load(at(100)).partMicros == 150'000);
-    BOOST_TEST(target->load(at(1000)).partMicros == 125'000); // Overdue: how much is left is not known.
+    BOOST_TEST(target->load(at(1000)).partMicros
+               == 125'000); // The prefill is overdue, so the remaining time is unknown.
 }
 
-// The load: engines are replaced one after the other, so lists of targets differ between daemons for some 100 ms. Seen:
-// one grant in sixty named an engine that the asker did not know or must not use, and the request was then placed by
-// what its daemon knew alone. Cause: a grant was used whole or not at all, though most of its engines only help to
-// read.
+// Guards against discarding a whole grant because of one unusable helper. While engines are replaced one after the
+// other, target lists differ between daemons for some 100 ms, and one grant in sixty named an engine that the
+// requesting daemon did not know or must not use. The request was then placed by the local view alone, although most
+// engines of a grant only help with the prefill.
 BOOST_AUTO_TEST_CASE(a_grant_is_used_without_the_helpers_that_this_daemon_must_not_use)
 {
     SchedulerState state(2);
@@ -447,8 +450,8 @@
     const auto chosen = session.take(answer, at(5));
     BOOST_REQUIRE(chosen.has_value());
     BOOST_TEST(chosen->helpers.size() == 1U);
-    BOOST_TEST((chosen->partRead == absl::Milliseconds(30))); // Two engines read what three should.
-    answer.holdingTokens = {16, 16}; // Memory that the prompt needs lies at the one that is not known.
+    BOOST_TEST((chosen->partRead == absl::Milliseconds(30))); // Two engines prefill what was planned for three.
+    answer.holdingTokens = {16, 16}; // The unknown engine is to hold KV memory that the prompt needs.
     BOOST_TEST(!session.take(answer, at(6)).has_value());
 }
 
@@ -464,7 +467,7 @@
         BOOST_TEST((answer.kind == AnswerKind::Granted));
         BOOST_TEST(answer.target != full->hash);
     }
-    BOOST_TEST(!full->health.ejected(at(10))); // Full, not failing.
+    BOOST_TEST(!full->health.ejected(at(10))); // The engine is full, it does not fail.
 }
 
 BOOST_AUTO_TEST_CASE(failures_that_different_daemons_saw_count_together)
@@ -515,12 +518,12 @@
     log.restart({0, 10});
     log.add({0, 12}, {{entry("a"), false}});
     log.add({0, 15}, {{entry("a"), true}});
-    BOOST_TEST(!log.since({0, 9}).has_value()); // The whole list is needed.
+    BOOST_TEST(!log.since({0, 9}).has_value()); // The log starts later, so the full list is needed.
     BOOST_TEST(log.since({0, 10})->size() == 2U);
     BOOST_TEST(log.since({0, 13})->size() == 1U);
     BOOST_TEST(log.since({0, 15})->empty());
     BOOST_TEST((log.newest() == DirectoryPosition{0, 15}));
-    log.restart({1, 8}); // The directory came back from a copy.
+    log.restart({1, 8}); // The directory was restored from a backup.
     log.add({1, 16}, {{entry("b"), false}});
     BOOST_TEST(!log.since({0, 15}).has_value());
     BOOST_TEST(log.since({1, 8})->size() == 1U);
--- a/tests/unit/core_test.cpp
+++ b/tests/unit/core_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: tests of core
+// spurlug: tests of the core library
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -127,7 +127,7 @@
     BOOST_TEST(!pool.tryRun([] {}));
 }
 
-// A VM may be suspended: its steady clock stands still, its boot clock goes on, and waits must go by that.
+// While a VM is suspended, its steady clock stops and its boot clock advances. Timeouts must follow the boot clock.
 BOOST_AUTO_TEST_CASE(timers_go_by_the_clock_that_counts_suspensions)
 {
     const auto before = core::now();
--- a/tests/unit/crash_ledger_test.cpp
+++ b/tests/unit/crash_ledger_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: which requests end the targets that run them, and what daemons tell each other of it
+// spurlug: tests of the detection of requests that crash targets, and of the exchange of crash reports
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -28,7 +28,7 @@
     return core::digestOf({core::cat("question ", number)});
 }
 
-/// A ledger under whose work `count` targets ended, at the start.
+/// Returns a ledger with `count` crashes under `Work`, all at time 0.
 CrashLedger ledgerWithEnds(std::uint32_t count)
 {
     CrashLedger ledger;
@@ -38,7 +38,7 @@
     return ledger;
 }
 
-/// A daemon of a fleet, and what it sent.
+/// A daemon of a fleet, with the messages that it sent.
 struct ExchangeState : RelayState
 {
     explicit ExchangeState(const std::string &vm, int daemons)
@@ -57,7 +57,7 @@
         context.crashExchange = &exchange;
     }
 
-    /// To how many others the daemon sent something.
+    /// Returns the number of daemons to which this one sent a message.
     [[nodiscard]] std::size_t told() const
     {
         std::set<std::uint16_t> ports;
@@ -72,7 +72,7 @@
         context, [this](const core::Address &to, const control::Message &message) { sent.emplace_back(to, message); }};
 };
 
-/// Name of a daemon that keeps facts for a fleet, or of one that does not.
+/// Returns the name of a daemon that aggregates crash reports in such a fleet, or of one that does not.
 std::string daemonOf(int daemons, bool keeper)
 {
     const ExchangeState any("vm-0", daemons);
@@ -96,7 +96,7 @@
 BOOST_AUTO_TEST_CASE(work_is_quarantined_when_three_lives_ended_under_it)
 {
     auto ledger = ledgerWithEnds(2);
-    BOOST_TEST(!ledger.targetEnded(Work, 2, at(5))); // A life ends once.
+    BOOST_TEST(!ledger.targetEnded(Work, 2, at(5))); // The crash of an incarnation counts once.
     BOOST_TEST(!ledger.quarantined(Work));
     BOOST_TEST(ledger.targetEnded(Work, 3, at(10)));
     BOOST_TEST(ledger.quarantined(Work));
@@ -112,7 +112,8 @@
     BOOST_TEST(!ledger.survived(Work, at(20)));
 }
 
-// A body that many callers send is at most targets of a rack that is lost; it ran well a moment ago.
+// A body that many callers send is in progress at most targets of a rack when the rack is lost. As it succeeded a
+// moment ago, it is not the cause of the crashes.
 BOOST_AUTO_TEST_CASE(ends_under_work_that_ran_well_a_moment_ago_do_not_count)
 {
     CrashLedger ledger;
@@ -144,7 +145,7 @@
     BOOST_TEST(ledger.ends(Work) == 3U);
     BOOST_TEST(ledger.merge({Work, {}, at(4)}, at(13)).news);
     BOOST_TEST(ledger.ends(Work) == 0U);
-    BOOST_TEST(!ledger.merge(first, at(14)).news); // An old word brings nothing back.
+    BOOST_TEST(!ledger.merge(first, at(14)).news); // An outdated report restores nothing.
     BOOST_TEST(ledger.ends(Work) == 0U);
 }
 
@@ -157,7 +158,7 @@
     BOOST_TEST(!ledger.quarantined(Work));
 }
 
-// Each daemon that passes a word on makes its moment a little later.
+// Times travel as ages, so each daemon that forwards a report shifts them a little; that alone is no change to forward.
 BOOST_AUTO_TEST_CASE(a_word_that_comes_back_is_no_news)
 {
     CrashLedger one;
@@ -208,7 +209,8 @@
     BOOST_TEST(!ledger.quarantined(Work));
 }
 
-// Seen in a property's run: daemons that each kept another part of many ends told each other of the rest for ever.
+// Guards against endless gossip: two daemons that each retain a different subset of many crashes reported the remaining
+// ones to each other forever.
 BOOST_AUTO_TEST_CASE(words_about_many_ends_come_to_rest)
 {
     CrashLedger one;
@@ -233,8 +235,8 @@
     BOOST_TEST(words < 10);
 }
 
-// Seen with seed 7 of a property: a daemon kept sixteen ends that the witness of the good run had no room for, and
-// stayed with its quarantine.
+// Guards against a quarantine that a success does not lift: a daemon kept sixteen crashes that the daemon that saw the
+// success had no room for, and its quarantine stayed (seen with seed 7 of a property test).
 BOOST_AUTO_TEST_CASE(a_good_run_refutes_also_ends_that_its_witness_never_kept)
 {
     CrashLedger quarantines;
@@ -268,7 +270,7 @@
     BOOST_TEST((std::get<control::CrashNews>(*read).suspects.at(1).ranWellAge == absl::InfiniteDuration()));
 }
 
-// Each engine that ends takes a dozen requests with it; their facts must not go to every daemon of a large fleet.
+// Each engine crash affects a dozen requests. Their reports must not be broadcast to every daemon of a large fleet.
 BOOST_AUTO_TEST_CASE(a_single_end_is_told_to_few_daemons_however_large_the_fleet)
 {
     ExchangeState daemon(daemonOf(300, false), 300);
@@ -284,11 +286,11 @@
 {
     ExchangeState keeper(daemonOf(300, true), 300);
     keeper.exchange.take(newsOf({1}), at(0));
-    BOOST_TEST(keeper.told() == 2U); // The other keepers.
+    BOOST_TEST(keeper.told() == 2U); // The other aggregators.
     keeper.exchange.take(newsOf({2}), at(1));
     BOOST_TEST(keeper.told() == 299U);
     keeper.sent.clear();
-    keeper.exchange.take(newsOf({1, 2}), at(2)); // Known already.
+    keeper.exchange.take(newsOf({1, 2}), at(2)); // These crashes are known already.
     BOOST_TEST(keeper.told() == 0U);
 }
 
@@ -313,7 +315,7 @@
     for (int ms = 1000; ms < 11'000; ms += 50) {
         daemon.exchange.gossip(at(ms));
     }
-    BOOST_TEST(daemon.sent.size() <= 41U); // Four a second for ten seconds; one drawn may be this daemon itself.
+    BOOST_TEST(daemon.sent.size() <= 41U); // Four per second for ten seconds; the daemon may draw itself as recipient.
     BOOST_TEST(daemon.sent.size() >= 36U);
 }
 
--- a/tests/unit/domain_links_test.cpp
+++ b/tests/unit/domain_links_test.cpp
@@ -1,16 +1,15 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: choices while a failure domain is cut off
+// spurlug: tests of placement while a failure domain is partitioned from the others
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// The load of these cases: prompts with up to fifteen helpers arrive while one failure domain of three is cut off, and
-// the list of targets still names its engines.
+// Prompts with up to fifteen helpers arrive while one failure domain of three is partitioned and the target list still
+// contains its engines.
 //
-// Seen: such prompts were sent up to six times within 100 ms, each time with some helpers that could not be reached,
-// and refused with seconds left and two thirds of the engines free; in the seconds of a cut half of the credit was
-// lost. How: an engine names one helper a refusal, and the next try took others of the same domain. Cause: what one
-// refusal says of a failure domain was not used, and the scheduler heard of none. Proof: the cases on choices fail
-// without the links between domains.
+// Guards against retries with other helpers of the unreachable domain: prompts were sent up to six times within 100 ms
+// and then refused with seconds left and two thirds of the engines free, and half of the credit was lost during a
+// partition. An engine names only one helper per refusal, and neither the next attempt nor the scheduler drew
+// conclusions about the helper's failure domain.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -34,7 +33,7 @@
 
 constexpr int EnginesInEach = 6;
 
-/// A daemon in hall-a before three failure domains of engines.
+/// A daemon in hall-a, with engines in three failure domains.
 struct ThreeDomains : RelayState
 {
     ThreeDomains()
@@ -75,7 +74,7 @@
     DomainLinks links;
     links.failed("a", "b", 1, at(0));
     links.failed("a", "b", 1, at(10));
-    BOOST_TEST(!links.parted("a", "b", at(11))); // It may have failed itself.
+    BOOST_TEST(!links.parted("a", "b", at(11))); // The target itself may have failed.
     links.failed("a", "b", 2, at(20));
     BOOST_TEST(links.parted("a", "b", at(21)));
     BOOST_TEST(links.parted("b", "a", at(21)));
@@ -96,7 +95,7 @@
     links.failed("a", "b", 1, at(1700));
     BOOST_TEST(links.parted("a", "b", at(1701)));
     BOOST_TEST(!links.parted("a", "b", at(9000)));
-    links.failed("a", "b", 1, at(9000)); // Long after: it has nothing to do with the earlier ones.
+    links.failed("a", "b", 1, at(9000)); // The earlier failures are too old to count.
     BOOST_TEST(!links.parted("a", "b", at(9001)));
 }
 
@@ -179,7 +178,7 @@
                        {state.engine("hall-c", 1)->hash, TargetFault::Busy, asker}};
     scheduler.report(report, at(0));
     BOOST_TEST(state.context.links.parted("hall-a", "hall-c", at(1)));
-    BOOST_TEST(!state.engine("hall-c", 0)->fullPause.lasts(at(1))); // It may answer requests of its own well.
+    BOOST_TEST(!state.engine("hall-c", 0)->fullPause.lasts(at(1))); // It may still accept requests of its own.
     control::PlacementAsk ask;
     ask.vm = "other";
     ask.ask = 1;
@@ -198,9 +197,9 @@
     BOOST_TEST(!state.context.links.parted("hall-a", "hall-c", at(11)));
 }
 
-// The load: prompts with fifteen helpers while one engine is down. Seen: 65 of 68 refusals of three seconds came from
-// one engine, since each daemon left a helper alone by itself, for 300 ms. Cause: nobody told the scheduler, and every
-// pause was as short as that of an engine that is only full.
+// Guards against repeated requests to a helper that is down. Prompts had fifteen helpers while one engine was down, and
+// 65 of 68 refusals within three seconds came from that engine: each daemon avoided it on its own for 300 ms only, the
+// scheduler was not informed, and every backoff was as short as that for an engine that is merely full.
 BOOST_AUTO_TEST_CASE(a_helper_that_turned_help_down_is_asked_by_no_daemon_and_ever_more_seldom)
 {
     ThreeDomains state;
@@ -219,7 +218,7 @@
         BOOST_TEST(!down->helpPause.lasts(at(refusedMs + pauseMs)));
         refusedMs += pauseMs;
     }
-    BOOST_TEST(!down->health.ejected(at(refusedMs))); // It may answer requests of its own well.
+    BOOST_TEST(!down->health.ejected(at(refusedMs))); // The engine may still accept requests of its own.
     ++report.sequence;
     report.outcomes = {{down->hash, std::nullopt, asker}};
     scheduler.report(report, at(refusedMs));
--- a/tests/unit/fleet_growth_test.cpp
+++ b/tests/unit/fleet_growth_test.cpp
@@ -1,11 +1,11 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what daemons that only live tell each other, by the size of the fleet
+// spurlug: tests of the heartbeat traffic and the agreement of idle daemons in large fleets
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// Seen: 985 daemons without a request sent 82 KB a second each, 0.055 of a core, and a day could not be played. How:
-// any day of the whole fleet. Cause: each daemon sent heartbeats to each other one, at an interval that could not grow
-// any more. Proof: none by this test, which came with the change; the figures before it are those of whole fleets.
+// Guards against heartbeat traffic that grows with the fleet: 985 daemons without requests sent 82 KB/s and used 0.055
+// of a core each, too much to simulate a day of the whole fleet. Each daemon sent heartbeats to every other one, at an
+// interval that had reached its maximum. These figures are of whole fleets, not of this test.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -27,18 +27,18 @@
 using namespace spurlug::test;
 
 constexpr std::size_t Domains = 5;
-constexpr std::size_t DatagramOverhead = 28; // Bytes of the headers of IP and UDP.
+constexpr std::size_t DatagramOverhead = 28; // IP and UDP headers, bytes.
 constexpr auto Way = absl::Milliseconds(2);
 constexpr std::uint16_t Port = 7340;
-/// A round of a large fleet is 2.2 s at most. A new registrar hears all of its domain after two, the others hear of it
-/// in the next one, and their domains in another.
+/// A heartbeat round of a large fleet takes at most 2.2 s. A new registrar has heard its whole domain after two rounds,
+/// the other registrars hear of it in the third, and their domains in the fourth.
 constexpr auto KnownAfter = absl::Seconds(10);
-/// A death shows by 7 s of silence, then come three such rounds.
+/// A daemon counts as dead after 7 s of silence; three such rounds follow.
 constexpr auto DeathKnownAfter = absl::Seconds(14);
-/// The bound on repeated sends takes it that daemons know the size of their failure domain by then.
+/// The fleet-wide retry budget assumes that daemons know the size of their failure domain by then.
 constexpr auto DomainKnownAfter = absl::Milliseconds(1500);
 
-/// A fleet of daemons that tell each other that they live, in one thread and without sockets.
+/// Simulates a fleet of daemons that exchange heartbeats, in one thread and without sockets.
 class Fleet
 {
 public:
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Bytes that daemons sent and heard in all.
+    /// Bytes that a daemon sent and received since the last forgetTraffic(), headers included.
     [[nodiscard]] double bytes(std::size_t number) const
     {
         return static_cast<double>(m_daemons[number]->bytes);
@@ -124,7 +124,7 @@
         return most;
     }
 
-    /// Whether all daemons that live agree on how many there are and who holds roles.
+    /// Whether all running daemons count `size` daemons and agree on the scheduler.
     [[nodiscard]] bool agree(std::size_t size) const
     {
         const RelayContext *first = nullptr;
@@ -142,7 +142,7 @@
         return true;
     }
 
-    /// How long it takes until they do; infinite when it takes a minute.
+    /// Runs the fleet until its daemons agree and returns the time that it took; infinite if a minute is not enough.
     [[nodiscard]] core::Duration untilAgreed(std::size_t size)
     {
         const auto begin = m_now;
@@ -174,18 +174,18 @@
         RelayContext context;
         FleetMembership membership;
         bool lives = true;
-        int life = 0; ///< Counted over all daemons.
+        int life = 0; ///< Number of this start, counted over all daemons.
         std::size_t bytes = 0;
     };
 
     struct Event
     {
         core::Time at;
-        std::uint64_t number = 0; ///< Events of one moment happen in the order in which they came to be.
+        std::uint64_t number = 0; ///< Orders events of the same time by their creation.
         std::size_t daemon = 0;
         std::size_t sender = 0;
-        std::shared_ptr<const std::string> datagram; ///< Null: its next round is due.
-        int life = 0; ///< Of the daemon whose round it is.
+        std::shared_ptr<const std::string> datagram; ///< Null if the daemon's next round is due.
+        int life = 0; ///< Start of the daemon whose round is due.
 
         [[nodiscard]] bool operator<(const Event &other) const
         {
@@ -232,7 +232,8 @@
         m_daemons.resize(std::max(m_daemons.size(), number + 1));
         daemon->life = ++m_newestLife;
         m_daemons[number] = std::move(daemon);
-        const auto spread = absl::Milliseconds(static_cast<double>(number * 37 % 300)); // They start within 0.3 s.
+        const auto spread
+            = absl::Milliseconds(static_cast<double>(number * 37 % 300)); // The daemons start within 0.3 s.
         push(m_now + spread, number, number, nullptr, m_newestLife);
     }
 
@@ -284,14 +285,14 @@
 
 BOOST_AUTO_TEST_CASE(what_an_idle_daemon_sends_and_hears_does_not_grow_with_the_fleet)
 {
-    constexpr double BytesPerSecond = 5'000; // Both ways, of the 15 KB/s that control may take in all.
+    constexpr double BytesPerSecond = 5'000; // Sent and received; all control traffic may use 15 KB/s.
     constexpr double Span = 6;
     double smaller = 0;
     for (const std::size_t size : {1000, 2000}) {
         Fleet fleet(size);
         const auto agreed = fleet.untilAgreed(size);
         BOOST_TEST(agreed <= KnownAfter);
-        fleet.run(absl::Seconds(4)); // Those that just started send more often.
+        fleet.run(absl::Seconds(4)); // Daemons that have just started send more often.
         fleet.forgetTraffic();
         fleet.run(absl::Seconds(Span));
         const auto mean = fleet.meanBytes() / Span;
@@ -315,11 +316,11 @@
     }
     fleet.kill(scheduler);
     const auto afterDeath = fleet.untilAgreed(Size - 1);
-    BOOST_TEST_MESSAGE("a scheduler's death is known to all after " << afterDeath);
+    BOOST_TEST_MESSAGE("all daemons know of the death of the scheduler after " << afterDeath);
     BOOST_TEST((afterDeath <= DeathKnownAfter));
     fleet.restart(scheduler);
     const auto afterReturn = fleet.untilAgreed(Size);
-    BOOST_TEST_MESSAGE("its return after " << afterReturn);
+    BOOST_TEST_MESSAGE("all daemons know of its return after " << afterReturn);
     BOOST_TEST((afterReturn <= KnownAfter));
     fleet.cut(2, true);
     fleet.run(absl::Seconds(20));
@@ -329,7 +330,7 @@
     }
     fleet.cut(2, false);
     const auto afterCut = fleet.untilAgreed(Size);
-    BOOST_TEST_MESSAGE("the end of a cut after " << afterCut);
+    BOOST_TEST_MESSAGE("all daemons know of the end of the partition after " << afterCut);
     BOOST_TEST((afterCut <= KnownAfter));
 }
 
@@ -349,9 +350,10 @@
     BOOST_TEST((fleet.untilAgreed(Size) <= KnownAfter));
 }
 
-// Seen: 985 daemons made ten calls to the store each, 0.16 of a quiet day's worth. How: a start of all; 3 s later each
-// came to count as serving, in its own eyes before any other one, and took itself for the first holder of every role.
-// Proof: this test fails where a daemon ranks itself by what the others have not heard yet.
+// Guards against a burst of calls to the store: when 985 daemons started together, each made ten calls, in all 0.16 of
+// the calls of a quiet day. After 3 s each daemon counted as serving, in its own view before any other one, and took
+// itself for the first holder of every role. The test fails if a daemon ranks itself by a state that the others have
+// not heard yet.
 BOOST_AUTO_TEST_CASE(no_daemon_takes_a_role_for_being_the_first_to_know_that_it_serves)
 {
     constexpr std::size_t Size = 300;
@@ -371,7 +373,7 @@
         }
         fleet.run(absl::Milliseconds(100));
     }
-    BOOST_TEST(readers.size() <= Domains * 2); // The last of a domain to be known may be the first in the order.
+    BOOST_TEST(readers.size() <= Domains * 2); // The daemon that a domain hears of last may rank first.
     BOOST_TEST(schedulers.size() <= Domains * 2);
 }
 
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -137,8 +137,8 @@
     BOOST_TEST(!table.hear(summary, true, Start));
 }
 
-/// A fleet of three failure domains starts while they are cut from each other: each took its own daemons for all, so
-/// together they let an organisation's limit through three times.
+/// Guards against exceeding an organisation's limit threefold: a fleet of three failure domains started while they were
+/// partitioned from each other, and each domain took its own daemons for the whole fleet.
 BOOST_AUTO_TEST_CASE(a_failure_domain_that_was_never_heard_counts_as_large_as_the_own_one)
 {
     membership::Fleet fleet("vm-0", "a", Timeout, {"a", "b", "c"});
@@ -153,7 +153,7 @@
     heartbeat.summaries.back().failureDomain = "b";
     heartbeat.summaries.back().daemons = 2;
     fleet.hearSummaries(heartbeat, Start);
-    BOOST_TEST(fleet.daemons(Start) == 10U); // Four here, two as told, four as supposed.
+    BOOST_TEST(fleet.daemons(Start) == 10U); // Four local daemons, two reported for b, four assumed for c.
 }
 
 BOOST_AUTO_TEST_CASE(a_delegate_prefers_contacts_that_it_hears)
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: tests of where prompts go, and which engines help to read them
+// spurlug: tests of the placement of prompts and the choice of helper engines
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -17,9 +17,10 @@
 
 BOOST_AUTO_TEST_SUITE(placement)
 
-// Seen: of two idle targets one got 84 requests of a hundred, of three 68, of 18 engines the first six three times as
-// many as the others. Cause: the draws of two candidates differed by a constant, so they were not independent. Proof:
-// this test; a target came to none of twenty requests to two in two of thirty runs.
+// Guards against an uneven choice among equal targets: one of two idle targets got 84 of a hundred requests, one of
+// three got 68, and the first six of 18 engines got three times as many as the others. The random numbers of two
+// candidates differed by a constant, so they were not independent. In two of thirty runs, one of two targets got none
+// of twenty requests.
 BOOST_AUTO_TEST_CASE(targets_that_are_alike_are_chosen_alike)
 {
     constexpr int Requests = 30'000;
@@ -30,7 +31,7 @@
             ++chosen[placePlain(idle(count), {}, random())->target];
         }
         const auto fair = static_cast<double>(Requests) / static_cast<double>(count);
-        // Five standard deviations of an even draw.
+        // Five standard deviations of a uniform choice.
         const auto bound = 5 * std::sqrt(fair * (1 - 1 / static_cast<double>(count)));
         for (const auto times : chosen) {
             BOOST_TEST(std::abs(times - fair) < bound, count << " targets, one chosen " << times << " times");
@@ -110,7 +111,7 @@
         candidates[busy].load.requests = candidates[busy].load.writers = 1;
     }
     auto request = prompt(190'000, false);
-    request.pauses.loose = absl::Milliseconds(400); // A part takes 356 ms with eight engines.
+    request.pauses.loose = absl::Milliseconds(400); // With eight engines, a part takes 356 ms.
     const auto placement = placePrompt(engine(), request, candidates, {}, 1);
     BOOST_REQUIRE(placement.has_value());
     BOOST_TEST(placement->helpers.size() == 5U);
@@ -127,7 +128,7 @@
         candidates[i].load.partMicros = 600'000;
     }
     auto request = prompt(190'000, false);
-    request.aim = absl::Milliseconds(1200); // Two engines take 1.4 s, eight a third of a second.
+    request.aim = absl::Milliseconds(1200); // Two engines take 1.4 s, eight engines a third of a second.
     BOOST_TEST(!placePrompt(engine(), request, candidates, {}, 1).has_value());
     request.aim = absl::Milliseconds(2500);
     BOOST_TEST(placePrompt(engine(), request, candidates, {}, 1).has_value());
@@ -140,10 +141,10 @@
         candidates[i].load.partMicros = 600'000;
     }
     auto request = prompt(190'000, false);
-    request.waited = absl::Seconds(4); // Its aim is 2.5 s.
+    request.waited = absl::Seconds(4); // The objective is 2.5 s.
     BOOST_TEST(!placePrompt(engine(), request, candidates, {}, 1).has_value()); // One engine takes 2.9 s.
     BOOST_TEST(placePrompt(engine(), request, idle(8), {}, 1).has_value());
-    request.waited = absl::Milliseconds(9800); // The caller leaves after 10 s.
+    request.waited = absl::Milliseconds(9800); // The caller gives up after 10 s.
     BOOST_TEST(!placePrompt(engine(), request, idle(8), {}, 1).has_value());
 }
 
@@ -151,7 +152,7 @@
 {
     auto costs = engine();
     costs.memoryTokens = 1'200'000;
-    auto request = prompt(900'000, false); // Eight engines take 5.7 s, the aim is 2.5 s.
+    auto request = prompt(900'000, false); // Eight engines take 5.7 s; the objective is 2.5 s.
     request.patience = absl::Seconds(12);
     BOOST_TEST(placePrompt(costs, request, idle(8), {}, 1).has_value());
 }
@@ -173,7 +174,7 @@
     for (auto &candidate : candidates) {
         candidate.mayHelp = false;
     }
-    auto request = prompt(190'000, false); // One engine takes 2.9 s, the aim is 2.5 s.
+    auto request = prompt(190'000, false); // One engine takes 2.9 s; the objective is 2.5 s.
     const auto placement = placePrompt(engine(), request, candidates, {}, 1);
     BOOST_REQUIRE(placement.has_value());
     BOOST_TEST(placement->helpers.empty());
@@ -214,9 +215,10 @@
     }
 }
 
-// The load: forty prompts of 40,000 tokens generate while longer ones are to be read. Seen: their streams lay two by
-// two at twenty engines of sixty, and prompts of 300,000 tokens, whose parts are too long beside streams, found one or
-// two engines. Cause: one and a half passes beside streams cost more than opening another engine.
+// Guards against streams of long prompts that spread over too many engines. Forty requests with prompts of 40,000
+// tokens were in the decode phase, two at each of twenty engines of sixty. Prompts of 300,000 tokens, whose parts are
+// too long to run beside streams, then found only one or two engines. Running one and a half passes beside streams was
+// rated more costly than using another engine.
 BOOST_AUTO_TEST_CASE(streams_of_long_prompts_gather_so_that_other_engines_read_parts_of_any_length)
 {
     auto engines = idle(20);
@@ -232,7 +234,7 @@
     }
     const auto opened = std::count_if(engines.begin(), engines.end(),
                                       [](const auto &candidate) { return candidate.load.requests > 0; });
-    BOOST_TEST(opened == 3); // The memory of an engine holds four of them.
+    BOOST_TEST(opened == 3); // The memory of an engine holds four of these requests.
     const auto longest = placePrompt(engine(), prompt(150'000, false), engines, {}, 1);
     BOOST_REQUIRE(longest.has_value());
     BOOST_TEST(longest->helpers.size() == 15U);
@@ -286,7 +288,7 @@
         shares.push_back(std::make_unique<Share>(targets.find("a"), Share::Kind::Request, work, at(0), at(100), true));
     }
     const std::vector<Outstanding> loads{targets.find("a")->own(at(0)), {}, {}, {}, {}};
-    BOOST_TEST(loads[0].tightRequests == 20); // None of them generates yet.
+    BOOST_TEST(loads[0].tightRequests == 20); // None of these requests is in the decode phase yet.
     BOOST_TEST(enginesForTight(loads, 16, {}) == 2U);
     BOOST_TEST(enginesForTight({{}, {}, {}, {}, {}}, 16, {}) == 1U);
 }
--- a/tests/unit/rate_limit_test.cpp
+++ b/tests/unit/rate_limit_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what a daemon does with the rate that a target says it takes from the whole fleet
+// spurlug: tests of the handling of rate limits that targets announce for the whole fleet
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -21,7 +21,7 @@
 namespace
 {
 
-/// A daemon with two engines, or two plain targets.
+/// A daemon with two targets, either engines or plain services.
 struct TwoTargets : RelayState
 {
     explicit TwoTargets(bool engines)
@@ -53,7 +53,7 @@
 
 BOOST_AUTO_TEST_SUITE(rate_limit)
 
-// An answer to a request from before the limit was named must not lift it.
+// An answer to a request that was sent before the limit was announced must not lift it.
 BOOST_AUTO_TEST_CASE(a_limit_is_lifted_by_an_answer_to_a_later_request_only)
 {
     TwoTargets state(true);
@@ -64,7 +64,7 @@
     BOOST_TEST(!state.find("a")->rateLimit.perSecond().has_value());
 }
 
-// A peer's older word must not bring a limit back, or take one away.
+// An older report of a peer must neither restore nor lift a limit.
 BOOST_AUTO_TEST_CASE(the_latest_word_of_a_limit_holds_whoever_passes_it_on)
 {
     TwoTargets state(true);
@@ -96,7 +96,8 @@
     BOOST_TEST(latest.front().target == state.find("b")->hash);
 }
 
-// A scheduler hears no answers: it has to know a limit before it places the next prompt of a daemon that does.
+// A scheduler sees no answers of targets, so it has to learn of a limit with the next placement request of a daemon
+// that knows the limit.
 BOOST_AUTO_TEST_CASE(an_ask_tells_the_scheduler_of_limits)
 {
     TwoTargets state(true);
@@ -119,7 +120,7 @@
     BOOST_TEST(granted <= 2 * 4);
 }
 
-// A request that no target takes before it would be late must be refused at once, with the time to come back.
+// A request that no target accepts before it would be late must be refused at once, with the time after which to retry.
 BOOST_AUTO_TEST_CASE(a_request_that_cannot_wait_for_the_next_turn_is_refused_at_once)
 {
     TwoTargets state(false);
--- a/tests/unit/relay_fixtures.h
+++ b/tests/unit/relay_fixtures.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: engines, prompts and times for tests of the relay's decisions
+// spurlug: engines, prompts and times as fixtures for tests of the relay's decisions
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -20,20 +20,21 @@
 
 inline const core::Time Start = absl::FromUnixSeconds(1000);
 
-/// \brief A moment some ms after `Start`.
+/// \brief Returns the time `ms` milliseconds after `Start`.
 inline core::Time at(std::int64_t ms)
 {
     return Start + core::fromMs(ms);
 }
 
-/// \brief What the directory says of a target of the service "model".
+/// \brief Returns the directory entry of a target of the service "model".
 inline TargetEntry entry(const std::string &id, bool draining = false)
 {
-    const auto port = static_cast<std::uint16_t>(1024 + core::fastHash(id) % 60'000); // No two targets share one.
+    const auto port
+        = static_cast<std::uint16_t>(1024 + core::fastHash(id) % 60'000); // Differs between the targets of a test.
     return {id, "model", {"127.0.0.1", port}, "hall-a", 16, draining};
 }
 
-/// \brief An engine with 16 slots and memory for 200,000 tokens.
+/// \brief Returns the costs of an engine with 16 slots and KV memory for 200,000 tokens.
 inline config::EngineCosts engine()
 {
     config::EngineCosts costs;
@@ -46,7 +47,7 @@
     return costs;
 }
 
-/// \brief Engines without work.
+/// \brief Returns `count` candidates without work.
 inline std::vector<Candidate> idle(std::size_t count)
 {
     Candidate candidate;
@@ -54,7 +55,7 @@
     return std::vector<Candidate>(count, candidate);
 }
 
-/// \brief A request for 500 tokens of answer.
+/// \brief Returns a request with a prompt of `tokens` tokens and an answer of 500 tokens.
 inline PromptRequest prompt(std::int64_t tokens, bool tight = true)
 {
     PromptRequest request;
--- a/tests/unit/relay_knowledge_test.cpp
+++ b/tests/unit/relay_knowledge_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what the relay knows of configuration and targets, how new it is, and what daemons tell each other of it
+// spurlug: tests of the relay's configuration and target list, their freshness, and their exchange between daemons
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -35,7 +35,8 @@
     BOOST_TEST((proof.age(5, at(100)) == core::fromMs(100)));
     proof.confirm(6, at(50));
     BOOST_TEST(proof.version() == 6);
-    BOOST_TEST((proof.age(5, at(100)) == core::fromMs(100))); // Still the newest at that moment, never later.
+    BOOST_TEST(
+        (proof.age(5, at(100)) == core::fromMs(100))); // Version 5 was confirmed as the newest at time 0, not later.
     BOOST_TEST((proof.age(6, at(100)) == core::fromMs(50)));
     BOOST_TEST((proof.age(7, at(100)) == absl::InfiniteDuration()));
 }
@@ -50,7 +51,7 @@
     state.context.adopt(table, "{}", "test", at(0));
     BOOST_TEST(state.context.keysAreFresh(at(1000)));
     BOOST_TEST(!state.context.keysAreFresh(at(4000)));
-    state.context.configurationProof.confirm(4, at(3900)); // A newer one is known of, but not here yet.
+    state.context.configurationProof.confirm(4, at(3900)); // A newer version is known to exist but has not arrived yet.
     BOOST_TEST(!state.context.keysAreFresh(at(3900)));
 }
 
@@ -64,21 +65,22 @@
     state.context.configurationProof.confirm(4, at(1300));
     BOOST_TEST(state.context.keysAreFresh(at(1400)));
     BOOST_TEST(state.context.keysAreFresh(at(4700)));
-    BOOST_TEST(!state.context.keysAreFresh(at(4800))); // Well before 5 s after the newer one came into force.
+    BOOST_TEST(!state.context.keysAreFresh(at(4800))); // Well before 5 s after the newer one became active.
 }
 
 BOOST_AUTO_TEST_CASE(the_directory_counts_as_heard_while_both_waits_end_in_time)
 {
     RelayState state;
     state.context.configurationHeardAt = at(1200);
-    BOOST_TEST((state.context.directoryHeardAt() == at(1200))); // Without a configuration nobody waits for targets.
+    BOOST_TEST(
+        (state.context.directoryHeardAt() == at(1200))); // Targets are not requested before there is a configuration.
     auto table = core::makeCounted<config::RouteTable>();
     table->version = 3;
     state.context.adopt(table, "{}", "test", at(0));
     state.context.targetsHeardAt = at(-1000);
-    BOOST_TEST((state.context.directoryHeardAt() == at(1200))); // Waits for targets take four seconds.
+    BOOST_TEST((state.context.directoryHeardAt() == at(1200))); // Requests for targets may wait four seconds.
     state.context.targetsHeardAt = at(-6000);
-    BOOST_TEST((state.context.directoryHeardAt() < at(0))); // The targets are not heard of any more.
+    BOOST_TEST((state.context.directoryHeardAt() < at(0))); // Requests for targets are not answered any more.
 }
 
 BOOST_AUTO_TEST_CASE(a_configuration_never_goes_back)
@@ -112,14 +114,14 @@
     BOOST_TEST(state.context.targets.listed("model", at(7000)).empty());
 }
 
-// Seen: a daemon that stood still for 3.5 s turned away all 87 requests that had come meanwhile. Cause: its proof was
-// too old when it ran again, and it did not ask for a new one first. Where the last attempts failed, waiting has no
-// ground.
+// Guards against refusing requests after a pause of the process: a daemon that was stopped for 3.5 s refused all 87
+// requests that had arrived meanwhile, because its last confirmation of the configuration was too old and it did not
+// request a new one first. After failed attempts, there is no reason to wait.
 BOOST_AUTO_TEST_CASE(after_a_pause_of_the_process_a_new_proof_is_worth_waiting_for_after_failures_it_is_not)
 {
     RelayState state;
     auto &context = state.context;
-    BOOST_TEST(!context.proofMayComeSoon(at(0))); // It knows no configuration yet.
+    BOOST_TEST(!context.proofMayComeSoon(at(0))); // There is no configuration yet.
     context.adopt(chatTable(), "{}", "test", at(0));
     context.proofTriedAt = at(0);
     BOOST_TEST(!context.proofMayComeSoon(at(1000)));
@@ -127,7 +129,7 @@
     context.isolated = true;
     BOOST_TEST(!context.proofMayComeSoon(at(3500)));
     context.isolated = false;
-    context.proofTriedAt = at(3600); // It ended, whatever came of it.
+    context.proofTriedAt = at(3600); // The attempt ended, whether it succeeded or not.
     BOOST_TEST(!context.proofMayComeSoon(at(3700)));
 }
 
@@ -137,7 +139,8 @@
     const auto started = state.context.startedAt;
     BOOST_TEST(state.context.knowledgeMayComeSoon(core::Reason::NotReady, started + absl::Milliseconds(100)));
     BOOST_TEST(!state.context.knowledgeMayComeSoon(core::Reason::NotReady, started + absl::Milliseconds(200)));
-    BOOST_TEST(!state.context.knowledgeMayComeSoon(core::Reason::UnknownKey, started)); // Nothing will come of it.
+    BOOST_TEST(!state.context.knowledgeMayComeSoon(core::Reason::UnknownKey,
+                                                   started)); // Waiting does not help an unknown key.
 }
 
 BOOST_AUTO_TEST_CASE(a_service_without_listed_targets_is_known_as_soon_as_the_list_is)
@@ -147,7 +150,7 @@
     RequestProgress request(state.context, longPrompt(), at(0));
     BOOST_REQUIRE(!request.authorise(at(0)));
     static_cast<void>(request.query(at(0)));
-    BOOST_TEST(!request.hasNoTarget(at(0))); // The list was not read yet.
+    BOOST_TEST(!request.hasNoTarget(at(0))); // The target list has not been read yet.
     state.intake.whole({}, {0, 1}, "test", at(1));
     BOOST_TEST(request.hasNoTarget(at(1)));
     BOOST_TEST(
@@ -155,7 +158,7 @@
     state.intake.changes({{entry("a")}}, {0, 2}, "test", at(2));
     BOOST_TEST(!request.hasNoTarget(at(2)));
     state.intake.changes({{entry("a", true)}}, {0, 3}, "test", at(3));
-    BOOST_TEST(request.hasNoTarget(at(3))); // It leaves.
+    BOOST_TEST(request.hasNoTarget(at(3))); // The only target is draining.
 }
 
 BOOST_AUTO_TEST_CASE(an_older_list_brings_nobody_back)
@@ -167,7 +170,8 @@
     BOOST_TEST(state.context.targets.listed("model", at(30)).empty());
 }
 
-// A target that was gone was used again as soon as the copy that lists it was read a second time.
+// Guards against the use of a target that had gone and that a restored backup of the directory lists again: it was used
+// as soon as the list was read a second time.
 BOOST_AUTO_TEST_CASE(a_target_that_a_copy_brings_back_is_doubted_until_it_writes_or_its_entry_outlasts_it)
 {
     for (const bool writes : {true, false}) {
@@ -189,7 +193,7 @@
     }
 }
 
-// Changes that go on from a list of an earlier era were taken for those of the known one.
+// Guards against applying changes of one era of the directory to the target list of another.
 BOOST_AUTO_TEST_CASE(changes_of_another_era_than_the_known_list_are_not_taken)
 {
     RelayState state;
@@ -206,14 +210,15 @@
 {
     RelayState state;
     state.intake.whole({{entry("a"), false}, {entry("b"), false}}, {0, 10}, "test", at(0));
-    state.context.targets.drop("b", at(2000)); // Kept for a moment here.
+    state.context.targets.drop("b", at(2000)); // This daemon keeps the target for a moment.
     const auto told = readPeerState(writePeerState(peerState(state.context, 0, {}, at(10))));
     BOOST_REQUIRE(told.targets.size() == 1U);
     BOOST_TEST(told.targets.front().entry.id == "a");
 }
 
-// The load: 300 daemons before 3,003 targets start at once, and each wants the whole list from the one of its failure
-// domain that read it; a small VM's link carries 2.5 MB/s. An entry is its id, its address and numbers.
+// Guards against large target lists: 300 daemons with 3,003 targets start at once, and each requests the full list from
+// the daemon of its failure domain that read it, over the link of a small VM with 2.5 MB/s. An entry consists of its
+// id, its address and numbers.
 BOOST_AUTO_TEST_CASE(a_list_of_thousands_of_targets_is_told_in_some_fifty_bytes_each_and_comes_back_unchanged)
 {
     constexpr std::size_t Targets = 3003;
--- a/tests/unit/relay_state.h
+++ b/tests/unit/relay_state.h
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: the state of a relaying daemon without sockets, for tests of its decisions
+// spurlug: a relaying daemon without sockets, as a fixture for tests of its decisions
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
@@ -13,7 +13,7 @@
 namespace spurlug::test
 {
 
-/// \brief A daemon that knows nothing yet.
+/// \brief A daemon without a configuration and without targets.
 struct RelayState
 {
     net::Loop loop;
@@ -24,7 +24,7 @@
     TargetIntake intake{context, link};
 };
 
-/// \brief A configuration with one public route to engines.
+/// \brief Returns a configuration with one public route to engines.
 inline config::RouteTableRef chatTable(core::Duration aim = absl::Milliseconds(2500),
                                        core::Duration gapAim = absl::InfiniteDuration())
 {
@@ -50,7 +50,7 @@
     return table;
 }
 
-/// \brief A request with a prompt of 40,000 tokens on that route.
+/// \brief Returns a request with a prompt of 40,000 tokens for the route of chatTable().
 inline RequestFacts longPrompt()
 {
     RequestFacts facts;
@@ -61,7 +61,7 @@
     return facts;
 }
 
-/// \brief A request of 4,000 tokens on that route.
+/// \brief Returns a request with a prompt of 4,000 tokens for the route of chatTable().
 inline RequestFacts shortPrompt()
 {
     auto facts = longPrompt();
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: decisions of the relay
+// spurlug: tests of the decisions of the relay
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -30,7 +30,7 @@
 using namespace spurlug::relay;
 using namespace spurlug::test;
 
-/// Ids of all engines that a choice uses.
+/// Returns the ids of the answering engine and its helpers.
 std::set<std::string> idsOf(const ChosenTargets &chosen)
 {
     std::set<std::string> ids{chosen.target->entry.id};
@@ -54,15 +54,16 @@
     RequestProgress request(state.context, longPrompt(), at(0));
     BOOST_REQUIRE(!request.authorise(at(0)));
     BOOST_TEST(state.context.targets.peerReport({targets::targetHash("f")}, at(0)).size() == 1U);
-    BOOST_TEST(state.context.targets.peerReport({targets::targetHash("f")}, at(1)).empty()); // Known already.
+    BOOST_TEST(
+        state.context.targets.peerReport({targets::targetHash("f")}, at(1)).empty()); // The report is known already.
     const auto chosen = request.choose(at(1));
     BOOST_REQUIRE(chosen.has_value());
     BOOST_TEST(idsOf(*chosen).size() == 5U);
     BOOST_TEST(!idsOf(*chosen).contains("f"));
     state.context.targets.peerReport({targets::targetHash("e"), targets::targetHash("f")}, at(100));
     BOOST_TEST(!idsOf(*request.choose(at(101))).contains("f"));
-    BOOST_TEST(idsOf(*request.choose(at(101))).contains("e")); // Two of six: that peer is cut off itself.
-    BOOST_TEST(idsOf(*request.choose(at(2000))).contains("f")); // The report is old.
+    BOOST_TEST(idsOf(*request.choose(at(101))).contains("e")); // Two of six targets: the peer itself is partitioned.
+    BOOST_TEST(idsOf(*request.choose(at(2000))).contains("f")); // The report has expired.
 }
 
 BOOST_AUTO_TEST_CASE(a_daemon_that_could_not_reach_a_target_itself_tries_it_whatever_its_peers_report)
@@ -74,7 +75,8 @@
     }
     const auto target = state.context.targets.find("f");
     target->health.failed(TargetFault::Unreachable, {}, at(0));
-    BOOST_TEST(state.context.targets.unreachable(at(5000)).size() == 1U); // Until it answers, not only while ejected.
+    BOOST_TEST(state.context.targets.unreachable(at(5000)).size()
+               == 1U); // Reported until the target answers, not only while ejected.
     state.context.targets.peerReport({targets::targetHash("f")}, at(5000));
     std::vector<TargetWork> full;
     for (const auto *id : {"a", "b", "c", "d", "e"}) {
@@ -86,7 +88,7 @@
     state.context.targets.peerWork("p", full, at(0));
     auto facts = longPrompt();
     facts.prompt = PromptFacts{1000, 100};
-    RequestProgress request(state.context, facts, at(4000)); // It has waited long enough to go anywhere.
+    RequestProgress request(state.context, facts, at(4000)); // The request has waited long enough to go to any engine.
     BOOST_REQUIRE(!request.authorise(at(5000)));
     const auto chosen = request.choose(at(5000));
     BOOST_REQUIRE(chosen.has_value());
@@ -128,7 +130,7 @@
     BOOST_REQUIRE(chosen->helpers.size() == 1U);
     const auto helper = chosen->helpers.front();
     request.begin(*chosen, "", at(0));
-    request.helpRefused(helper, at(100)); // Busy or leaving.
+    request.helpRefused(helper, at(100)); // The helper is busy or draining.
     BOOST_TEST(state.context.targets.unreachable(at(101)).empty());
     request.helpRefused(helper, at(1500));
     BOOST_TEST(helper->health.ejected(at(1501)));
@@ -136,25 +138,25 @@
     BOOST_TEST(state.context.targets.unreachable(at(1501)).front() == targets::targetHash(helper->entry.id));
 }
 
-// The load: an overloaded fleet. Where all engines are full, each turns several requests down in a row and is free soon
-// after; a pause that grew would keep it idle.
+// In an overloaded fleet where all engines are full, each refuses several requests in a row and is free soon after. An
+// increasing backoff would leave it idle.
 BOOST_AUTO_TEST_CASE(a_target_that_was_full_is_asked_again_after_the_same_pause_however_often_it_was)
 {
     Target target(entry("a"));
     std::int64_t refusedMs = 0;
     for (int refusals = 0; refusals < 5; ++refusals) {
         target.fullPause.refused(at(refusedMs));
-        target.fullPause.refused(at(refusedMs + 10)); // Sent before the first refusal was known.
+        target.fullPause.refused(at(refusedMs + 10)); // This request was sent before the first refusal was known.
         BOOST_TEST(target.fullPause.lasts(at(refusedMs + 199)));
         refusedMs += 200;
         BOOST_TEST(!target.fullPause.lasts(at(refusedMs)));
     }
 }
 
-// The load: nine prompts that sixteen engines read wait for six seconds, each for some engine that later arrivals kept
-// from its part (no engine was in all nine). Seen: each made all its engines look half busy, short prompts found none,
-// and one in three was late. Cause: half of each part counted as unread until the first event, though any one engine
-// may be the late one.
+// Guards against overestimating the remaining work of a delayed prompt. Nine prompts, each prefilled by sixteen
+// engines, waited for six seconds, each for some engine whose part later arrivals delayed (no engine was in all nine).
+// Half of each part counted as remaining until the first event, although any single engine may cause the delay. All
+// engines of these prompts looked half busy, short prompts found none, and one in three was late.
 BOOST_AUTO_TEST_CASE(a_part_that_is_stuck_at_one_engine_keeps_little_work_from_the_others)
 {
     TargetSet targets;
@@ -166,7 +168,7 @@
     BOOST_TEST(target->own(at(200)).partMicros == 800'000);
     BOOST_TEST(target->own(at(1500)).partMicros == Micros / 2 / static_cast<std::int64_t>(Engines));
     const Share alone(target, Share::Kind::Request, {.readMicros = Micros, .requests = 1}, at(0), at(1000), false);
-    BOOST_TEST(target->own(at(1500)).readMicros == Micros / 2); // It is late itself.
+    BOOST_TEST(target->own(at(1500)).readMicros == Micros / 2); // The only engine causes the delay itself.
 }
 
 BOOST_AUTO_TEST_CASE(work_of_peers_is_replaced_and_forgotten_also_when_its_target_comes_back)
@@ -316,7 +318,7 @@
     work.readMicros = 1'000'000;
     Share share(targets.find("a"), Share::Kind::Request, work, at(0), at(1000), false);
     BOOST_TEST(targets.find("a")->own(at(200)).readMicros == 800'000);
-    BOOST_TEST(targets.find("a")->own(at(5000)).readMicros == 500'000); // How much is left is not known.
+    BOOST_TEST(targets.find("a")->own(at(5000)).readMicros == 500'000); // The remaining time is unknown.
     share.promptRead();
     BOOST_TEST(targets.find("a")->own(at(5000)).readMicros == 0);
 }
--- a/tests/unit/report_test.cpp
+++ b/tests/unit/report_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: tests of what is read from logs
+// spurlug: tests of the reports on log files
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -49,14 +49,16 @@
     BOOST_TEST(first.readMs == 100);
     BOOST_TEST(first.readInVainMs == 60);
     BOOST_REQUIRE(first.firstToExpected.size() == 1U);
-    BOOST_TEST(first.firstToExpected.front() == 1.0, boost::test_tools::tolerance(1e-6)); // Sent 100 ms after it came.
+    BOOST_TEST(first.firstToExpected.front() == 1.0,
+               boost::test_tools::tolerance(1e-6)); // The request was sent 100 ms after its arrival.
     BOOST_TEST(chat.rbegin()->second.inTime == 1);
     BOOST_TEST(report.text().find("not whole: caller_gone 1") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(repeats_of_all_daemons_are_summed_in_every_window_against_the_bound)
 {
-    // Two requests, each sent twice by another daemon; the window that holds both repeats begins 10 s before the later.
+    // Two requests of two daemons, each sent twice. The window that holds both retries begins 10 s before the later
+    // one.
     std::istringstream lines(
         R"({"time":"2026-01-01T10:00:00+00:00","event":"started","retryRatio":0.2,"retrySlack":5,"retryWindowMs":10000}
 {"time":"2026-01-01T10:00:01+00:00","event":"request_sent","request":"a","service":"model","repeatCause":"","waitedMs":500}
@@ -71,10 +73,10 @@
     report::RepeatReport report;
     report.addAll(lines);
     const auto nearest = report.nearest();
-    BOOST_REQUIRE(nearest.size() == 1U); // The plain service repeated nothing.
+    BOOST_REQUIRE(nearest.size() == 1U); // The service "plain" has no retries.
     const auto &model = nearest.at("model");
     BOOST_TEST(model.repeats == 2);
-    BOOST_TEST(model.requests == 1); // Of (2, 12], (-3, 7] and (-8, 2]: one in each.
+    BOOST_TEST(model.requests == 1); // The windows (2, 12], (-3, 7] and (-8, 2] hold one each.
     BOOST_TEST(model.allowed == 5.2, boost::test_tools::tolerance(1e-9));
     BOOST_TEST(model.causes.at("target_silent") == 1);
     BOOST_TEST(model.charges.at("slack") == 1);
@@ -85,7 +87,7 @@
 
 BOOST_AUTO_TEST_CASE(repeats_are_summed_by_the_collector_s_clock_where_it_stamps_the_lines)
 {
-    // By the daemons' own clocks the two repeats are a minute apart.
+    // By the daemons' own clocks, the two retries are a minute apart.
     std::istringstream lines(
         R"( 0.5 vm-a {"time":"2026-01-01T10:00:00+00:00","event":"started","retryRatio":0.2,"retrySlack":5,"retryWindowMs":10000}
  1.0 vm-a {"time":"2026-01-01T10:00:01+00:00","event":"request_sent","request":"a","service":"model","repeatCause":"target_silent","waitedMs":0}
--- a/tests/unit/request_test.cpp
+++ b/tests/unit/request_test.cpp
@@ -173,8 +173,8 @@
     BOOST_TEST(routing::chooseTarget({1, true, 0}, {ejected, leaving}, {}, {}, 0).chosen.value() == 0);
 }
 
-// Seen (read in the code): what a target asked for by Retry-After was passed to the caller, and the next request sent
-// to the same target. Cause: the time was decoded and no choice looked at it.
+// Guards against ignoring a target's Retry-After: the time was decoded and passed to the caller, but the choice of a
+// target did not use it, so the next request went to the same target.
 BOOST_AUTO_TEST_CASE(a_target_that_asked_for_rest_is_left_out_until_it_ends_even_if_there_is_no_other)
 {
     config::Configuration configuration;
@@ -190,7 +190,7 @@
     const auto start = absl::FromUnixSeconds(1000);
     BOOST_TEST(chosen(start));
     table.askedForCooldown("a", absl::Seconds(3), start);
-    table.askedForCooldown("a", absl::Seconds(1), start); // A shorter time does not end the longer one.
+    table.askedForCooldown("a", absl::Seconds(1), start); // A shorter cooldown does not replace a longer one.
     BOOST_TEST(!chosen(start + absl::Milliseconds(2999)));
     BOOST_TEST(chosen(start + absl::Seconds(3)));
     table.askedForCooldown("a", absl::Hours(24), start + absl::Seconds(3));
--- a/tests/unit/request_waiting_test.cpp
+++ b/tests/unit/request_waiting_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: how long a request waits for a target, and what counts as waiting
+// spurlug: tests of how long a request waits for a target, and of what counts as waiting
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -15,10 +15,10 @@
 
 BOOST_AUTO_TEST_SUITE(request_waiting)
 
-/// A failure domain is cut off. Requests of its callers go to engines beyond the cut first, whose connections time out
-/// after longer than the aim; then they were refused for want of capacity, while 5 of the 720 slots were taken as far
-/// as their daemon knew: 67 of 82 short prompts that were refused in two seconds of such a cut, 49 of 57 in a larger
-/// fleet.
+/// Guards against counting time lost to a dead connection as time spent waiting for capacity. While a failure domain is
+/// partitioned, requests of its callers first go to unreachable engines, whose connections time out after longer than
+/// the latency objective. The requests were then refused for lack of capacity, although their daemon knew of only 5 of
+/// 720 slots in use: 67 of 82 short prompts refused within two seconds of such a partition, 49 of 57 in a larger fleet.
 BOOST_AUTO_TEST_CASE(time_lost_to_a_dead_connection_is_not_waiting_for_capacity)
 {
     RelayState state;
@@ -31,7 +31,7 @@
     request.begin(*chosen, "", at(10));
     request.endAttempt(core::Outcome::NotRun, core::Reason::ConnectFailed, TargetFault::Unreachable, "", at(410));
     BOOST_TEST(!request.waitedEnough(at(410)));
-    BOOST_TEST(!request.waitedEnough(at(699))); // 10 ms of its aim were spent waiting before.
+    BOOST_TEST(!request.waitedEnough(at(699))); // 10 ms of the objective were spent waiting before.
     BOOST_TEST(request.waitedEnough(at(700)));
 }
 
--- a/tests/unit/retry_ledger_test.cpp
+++ b/tests/unit/retry_ledger_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: a daemon's part of the bound on repeated sends
+// spurlug: tests of a daemon's share of the fleet-wide retry budget
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -40,7 +40,8 @@
 
 BOOST_AUTO_TEST_CASE(a_daemon_that_has_just_started_or_hears_nobody_spends_none_of_the_fleet_s_slack)
 {
-    // All daemons of a fleet were killed at once: each knows the seeds only, and spent its part in its last life.
+    // All daemons of a fleet were killed at once: each knows only the seeds and spent its share in its last
+    // incarnation.
     const auto window = absl::Seconds(10);
     BOOST_TEST(slackShare({3, true, true, absl::Seconds(1)}, window) == 0);
     BOOST_TEST(slackShare({3, false, true, absl::Seconds(60)}, window) == 0);
@@ -60,7 +61,7 @@
     BOOST_TEST(3 * ofLarge < 1);
     settings::RelaySettings settings;
     settings.failureDomain = "a";
-    BOOST_TEST(settings.countsTogether("b")); // No domains are named: all daemons count as one.
+    BOOST_TEST(settings.countsTogether("b")); // Without configured domains, all daemons count together.
     settings.failureDomains = {"a", "b"};
     BOOST_TEST(settings.countsTogether("a"));
     BOOST_TEST(!settings.countsTogether("b"));
--- a/tests/unit/standin_test.cpp
+++ b/tests/unit/standin_test.cpp
@@ -33,7 +33,7 @@
     return job;
 }
 
-/// Steps until the engine has nothing to do. Returns the time it took.
+/// Steps the engine until it has no streams left. Returns the elapsed time.
 Duration runDry(EngineModel &engine)
 {
     Time now = Start;
--- a/tests/unit/target_life_test.cpp
+++ b/tests/unit/target_life_test.cpp
@@ -1,11 +1,11 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: beliefs about a target end with its life
+// spurlug: tests that state kept about a target ends with its incarnation
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 //
-// Seen: a target that started again under its id inherited what was believed of its earlier life: work it no longer
-// had, failures, being full or leaving. How: beliefs were kept, and told between daemons, by the id. Cause: an id was
-// taken to be new with each start. Proof: each case fails where the start is left out of a target's identity.
+// Guards against a restarted target that inherits the state of its earlier incarnation: work that it no longer had,
+// failures, being full or draining. The state was kept, and exchanged between daemons, by the target's id, on the
+// assumption that each start has a new id. Each case fails if the start time is left out of a target's identity.
 //
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -64,9 +64,9 @@
     BOOST_TEST(!second->health.onProbation());
     BOOST_TEST((!second->fullPause.lasts(at(1)) && second->reportedUntil < at(1)));
     BOOST_TEST(!second->helpPause.lasts(at(1)));
-    BOOST_TEST(targets.ownWork(at(1)).empty()); // What the earlier life had is gone: nobody is told of it.
+    BOOST_TEST(targets.ownWork(at(1)).empty()); // The work of the earlier incarnation is lost and not reported.
     BOOST_TEST(!targets.withHash(first->hash));
-    targets.peerWork("late peer", someWork(first->entry.life()), at(1)); // It does not know of the restart yet.
+    targets.peerWork("late peer", someWork(first->entry.life()), at(1)); // This peer has not heard of the restart yet.
     BOOST_TEST((targets.find("a")->load(at(1)) == Outstanding{}));
 }
 
@@ -76,12 +76,13 @@
     auto &targets = state.context.targets;
     state.intake.whole({{lifeOf("a", FirstStart, true)}}, {0, 1}, "test", at(0));
     state.intake.changes({{lifeOf("a", FirstStart)}}, {0, 2}, "test", at(1));
-    BOOST_TEST(targets.listed("model", at(2)).empty()); // It said so for the rest of that life.
+    BOOST_TEST(targets.listed("model", at(2)).empty()); // Draining lasts until the incarnation ends.
     state.intake.changes({{lifeOf("a", SecondStart)}}, {0, 3}, "test", at(2));
     BOOST_TEST(targets.listed("model", at(3)).size() == 1U);
     state.intake.changes({{lifeOf("a", FirstStart, true)}}, {0, 4}, "a slow peer", at(3));
     BOOST_TEST(targets.listed("model", at(4)).size() == 1U);
-    state.intake.changes({{lifeOf("a", FirstStart), true}}, {0, 5}, "a slow peer", at(4)); // The earlier life ended.
+    state.intake.changes({{lifeOf("a", FirstStart), true}}, {0, 5}, "a slow peer",
+                         at(4)); // This removes the earlier incarnation only.
     BOOST_TEST(targets.listed("model", at(5)).size() == 1U);
     state.intake.changes({{lifeOf("a", SecondStart), true}}, {0, 6}, "test", at(5));
     BOOST_TEST(targets.listed("model", at(6)).empty());
@@ -101,7 +102,7 @@
     state.context.targets.put(lifeOf("a", SecondStart));
     BOOST_TEST(chosen->target->over());
     request.endAttempt(core::Outcome::MayHaveRun, core::Reason::TargetFailed, TargetFault::Unreachable, "", at(10));
-    BOOST_TEST(request.ranSomewhere()); // What the earlier life did of it is not known.
+    BOOST_TEST(request.ranSomewhere()); // The earlier incarnation may have run the request.
     BOOST_TEST(!state.context.targets.find("a")->health.onProbation());
 }
 
@@ -145,7 +146,7 @@
     state.intake.changes({{lifeOf("a", FirstStart)}}, {0, 3}, "test", at(3));
     BOOST_TEST(targets.listed("model", at(4)).size() == 2U);
     state.intake.changes({{lifeOf("a", 0)}}, {0, 4}, "test",
-                         at(4)); // It had told its start: some other program wrote this.
+                         at(4)); // The target had given its start time, so another program wrote this entry.
     BOOST_TEST(targets.listed("model", at(5)).size() == 1U);
     state.intake.whole({{lifeOf("a", FirstStart)}, {lifeOf("b", FirstStart)}}, {0, 5}, "test", at(5));
     BOOST_TEST(targets.listed("model", at(6)).size() == 2U);
@@ -167,8 +168,8 @@
     BOOST_TEST(lifeHash({"a", FirstStart}) != lifeHash({"b", FirstStart}));
 }
 
-// Read in the code: whoever waited for a life learnt of its end by its own silence only. What proves an end, and what
-// does not.
+// Guards against waiting for an incarnation that has ended: those that waited noticed the end only by its silence.
+// The case checks what proves the end of an incarnation and what does not.
 BOOST_AUTO_TEST_CASE(a_later_life_at_an_address_ends_the_earlier_one_and_a_gone_entry_does_not)
 {
     RelayState state;
@@ -181,7 +182,7 @@
     int told = 0;
     const LifeWatch watch(earlier, [&told](const core::Ref<Target> &) { ++told; });
     state.intake.changes({{entry("a"), true}}, {0, 2}, "test", at(10));
-    BOOST_TEST(!earlier->over()); // Entries lapse, and some targets serve on without one.
+    BOOST_TEST(!earlier->over()); // An entry may expire while its target still serves.
     auto foreign = later;
     foreign.id = "written-by-hand";
     foreign.service = "unknown";
@@ -194,7 +195,7 @@
     int toldAtOnce = 0;
     const LifeWatch late(earlier, [&toldAtOnce](const core::Ref<Target> &) { ++toldAtOnce; });
     BOOST_TEST(toldAtOnce == 1);
-    state.intake.changes({{entry("a")}}, {0, 5}, "a slow peer", at(40)); // It was listed again by somebody who lags.
+    state.intake.changes({{entry("a")}}, {0, 5}, "a slow peer", at(40)); // An outdated peer lists the target again.
     BOOST_TEST(earlier->over());
     BOOST_TEST(!earlier->listed(at(41)));
     BOOST_TEST(targets.find("b")->listed(at(41)));
@@ -210,7 +211,8 @@
         second.address = first.address;
         state.intake.whole({{second}, {first}}, {0, 1}, "test", at(0));
         BOOST_TEST(state.context.targets.find("a-second")->listed(at(1)));
-        BOOST_TEST(state.context.targets.find("z-first")->over() == startsAreTold); // Though it came last.
+        BOOST_TEST(state.context.targets.find("z-first")->over()
+                   == startsAreTold); // Its position in the list does not matter.
         state.intake.changes({{second}}, {0, 2}, "test", at(10));
         BOOST_TEST(state.context.targets.find("a-second")->listed(at(11)));
     }
--- a/tests/unit/target_notice_test.cpp
+++ b/tests/unit/target_notice_test.cpp
@@ -1,5 +1,5 @@
 //----------------------------------------------------------------------------------------------------------------------
-// spurlug: what a daemon does with a target's word that it leaves or wants rest
+// spurlug: tests of the handling of a target's notice that it drains or requests a cooldown
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
@@ -24,7 +24,7 @@
 namespace
 {
 
-/// A daemon with two engines and one public route of an aim of 300 ms.
+/// A daemon with two engines and one public route with a latency objective of 300 ms.
 struct TwoEngines : RelayState
 {
     explicit TwoEngines(std::int64_t priority = 1)
@@ -69,7 +69,7 @@
     state.rest("a", absl::Seconds(3), at(0));
     RequestProgress request(state.context, shortPrompt(), at(10));
     BOOST_REQUIRE(!request.authorise(at(10)));
-    BOOST_TEST(!request.backAt(request.query(at(10)), at(10)).has_value()); // The other one is free.
+    BOOST_TEST(!request.backAt(request.query(at(10)), at(10)).has_value()); // The other target is free.
     state.rest("b", absl::Seconds(8), at(10));
     const auto back = request.backAt(request.query(at(10)), at(10));
     BOOST_REQUIRE(back.has_value());
@@ -114,7 +114,7 @@
         state.rest(id, absl::Seconds(3), at(2));
     }
     const auto back = request.backAt(request.query(at(3)), at(3));
-    BOOST_REQUIRE(back.has_value()); // It has been to as many targets as it may.
+    BOOST_REQUIRE(back.has_value()); // The request has reached its maximum number of targets.
     BOOST_TEST(request.backTooLate(*back, at(3)));
     BOOST_TEST((request.retryAfter(core::Reason::TargetsCoolingDown, at(3)) == absl::Milliseconds(100)));
 }
@@ -130,7 +130,7 @@
     const auto verdict = judgeAnswer(answer, "r");
     BOOST_TEST((verdict.outcome == core::Outcome::NotRun));
     BOOST_TEST(!verdict.fault.has_value());
-    answer.retryAfter = absl::ZeroDuration(); // It may be asked again at once: it is full.
+    answer.retryAfter = absl::ZeroDuration(); // The target accepts requests at once, so it counts as full.
     BOOST_TEST((judgeAnswer(answer, "r").fault == TargetFault::Busy));
 }
 
