--- a/tests/unit/control_test.cpp
+++ b/tests/unit/control_test.cpp
@@ -237,8 +237,8 @@
     answer.number = question->number + 1;
     BOOST_TEST(!choice.answered(answer, at(10)).has_value());
     answer.number = question->number;
-    BOOST_TEST(
-        (choice.answered(answer, at(90)) == at(0))); // The data is as fresh as the query, however late the answer.
+    // The data is as fresh as the query, however late the answer.
+    BOOST_TEST((choice.answered(answer, at(90)) == at(0)));
     BOOST_TEST(!choice.answered(answer, at(91)).has_value());
 }
 
@@ -265,8 +265,8 @@
     }
     BOOST_TEST(most <= SchedulerState::Slots);
     BOOST_TEST(atEngine.size() >= static_cast<std::size_t>(Engines) * 9 / 10);
-    BOOST_TEST(queued
-               > 0); // All prefill capacity is granted; the rest waits in the scheduler's queue, not at the engines.
+    // All prefill capacity is granted; the rest waits in the scheduler's queue, not at the engines.
+    BOOST_TEST(queued > 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_grant_counts_until_its_daemon_reports_the_work_or_says_nothing)
@@ -415,8 +415,8 @@
     state.scheduler.report(report, at(0));
     BOOST_TEST(target->load(at(0)).partMicros == 250'000);
     BOOST_TEST(target->load(at(100)).partMicros == 150'000);
-    BOOST_TEST(target->load(at(1000)).partMicros
-               == 125'000); // The prefill is overdue, so the remaining time is unknown.
+    // The prefill is overdue, so the remaining time is unknown.
+    BOOST_TEST(target->load(at(1000)).partMicros == 125'000);
 }
 
 // Guards against discarding a whole grant because of one unusable helper. While engines are replaced one after the
--- a/tests/unit/fleet_growth_test.cpp
+++ b/tests/unit/fleet_growth_test.cpp
@@ -232,8 +232,8 @@
         m_daemons.resize(std::max(m_daemons.size(), number + 1));
         daemon->life = ++m_newestLife;
         m_daemons[number] = std::move(daemon);
-        const auto spread
-            = absl::Milliseconds(static_cast<double>(number * 37 % 300)); // The daemons start within 0.3 s.
+        // The daemons start within 0.3 s.
+        const auto spread = absl::Milliseconds(static_cast<double>(number * 37 % 300));
         push(m_now + spread, number, number, nullptr, m_newestLife);
     }
 
--- a/tests/unit/relay_fixtures.h
+++ b/tests/unit/relay_fixtures.h
@@ -29,8 +29,8 @@
 /// \brief Returns the directory entry of a target of the service "model".
 inline TargetEntry entry(const std::string &id, bool draining = false)
 {
-    const auto port
-        = static_cast<std::uint16_t>(1024 + core::fastHash(id) % 60'000); // Differs between the targets of a test.
+    // Each target of a test has a port of its own.
+    const auto port = static_cast<std::uint16_t>(1024 + core::fastHash(id) % 60'000);
     return {id, "model", {"127.0.0.1", port}, "hall-a", 16, draining};
 }
 
--- a/tests/unit/relay_knowledge_test.cpp
+++ b/tests/unit/relay_knowledge_test.cpp
@@ -35,8 +35,8 @@
     BOOST_TEST((proof.age(5, at(100)) == core::fromMs(100)));
     proof.confirm(6, at(50));
     BOOST_TEST(proof.version() == 6);
-    BOOST_TEST(
-        (proof.age(5, at(100)) == core::fromMs(100))); // Version 5 was confirmed as the newest at time 0, not later.
+    // Version 5 was confirmed as the newest at time 0, not later.
+    BOOST_TEST((proof.age(5, at(100)) == core::fromMs(100)));
     BOOST_TEST((proof.age(6, at(100)) == core::fromMs(50)));
     BOOST_TEST((proof.age(7, at(100)) == absl::InfiniteDuration()));
 }
@@ -72,8 +72,8 @@
 {
     RelayState state;
     state.context.configurationHeardAt = at(1200);
-    BOOST_TEST(
-        (state.context.directoryHeardAt() == at(1200))); // Targets are not requested before there is a configuration.
+    // Targets are not requested before there is a configuration.
+    BOOST_TEST((state.context.directoryHeardAt() == at(1200)));
     auto table = core::makeCounted<config::RouteTable>();
     table->version = 3;
     state.context.adopt(table, "{}", "test", at(0));
@@ -139,8 +139,8 @@
     const auto started = state.context.startedAt;
     BOOST_TEST(state.context.knowledgeMayComeSoon(core::Reason::NotReady, started + absl::Milliseconds(100)));
     BOOST_TEST(!state.context.knowledgeMayComeSoon(core::Reason::NotReady, started + absl::Milliseconds(200)));
-    BOOST_TEST(!state.context.knowledgeMayComeSoon(core::Reason::UnknownKey,
-                                                   started)); // Waiting does not help an unknown key.
+    // Waiting does not help an unknown key.
+    BOOST_TEST(!state.context.knowledgeMayComeSoon(core::Reason::UnknownKey, started));
 }
 
 BOOST_AUTO_TEST_CASE(a_service_without_listed_targets_is_known_as_soon_as_the_list_is)
--- a/tests/unit/relay_test.cpp
+++ b/tests/unit/relay_test.cpp
@@ -54,8 +54,8 @@
     RequestProgress request(state.context, longPrompt(), at(0));
     BOOST_REQUIRE(!request.authorise(at(0)));
     BOOST_TEST(state.context.targets.peerReport({targets::targetHash("f")}, at(0)).size() == 1U);
-    BOOST_TEST(
-        state.context.targets.peerReport({targets::targetHash("f")}, at(1)).empty()); // The report is known already.
+    // The report is known already.
+    BOOST_TEST(state.context.targets.peerReport({targets::targetHash("f")}, at(1)).empty());
     const auto chosen = request.choose(at(1));
     BOOST_REQUIRE(chosen.has_value());
     BOOST_TEST(idsOf(*chosen).size() == 5U);
@@ -75,8 +75,8 @@
     }
     const auto target = state.context.targets.find("f");
     target->health.failed(TargetFault::Unreachable, {}, at(0));
-    BOOST_TEST(state.context.targets.unreachable(at(5000)).size()
-               == 1U); // Reported until the target answers, not only while ejected.
+    // The target is reported until it answers, not only while it is ejected.
+    BOOST_TEST(state.context.targets.unreachable(at(5000)).size() == 1U);
     state.context.targets.peerReport({targets::targetHash("f")}, at(5000));
     std::vector<TargetWork> full;
     for (const auto *id : {"a", "b", "c", "d", "e"}) {
--- a/tests/unit/report_test.cpp
+++ b/tests/unit/report_test.cpp
@@ -49,16 +49,15 @@
     BOOST_TEST(first.readMs == 100);
     BOOST_TEST(first.readInVainMs == 60);
     BOOST_REQUIRE(first.firstToExpected.size() == 1U);
-    BOOST_TEST(first.firstToExpected.front() == 1.0,
-               boost::test_tools::tolerance(1e-6)); // The request was sent 100 ms after its arrival.
+    // The request was sent 100 ms after its arrival.
+    BOOST_TEST(first.firstToExpected.front() == 1.0, boost::test_tools::tolerance(1e-6));
     BOOST_TEST(chat.rbegin()->second.inTime == 1);
     BOOST_TEST(report.text().find("not whole: caller_gone 1") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(repeats_of_all_daemons_are_summed_in_every_window_against_the_bound)
 {
-    // Two requests of two daemons, each sent twice. The window that holds both retries begins 10 s before the later
-    // one.
+    // Two requests of two daemons, each sent twice. The window with both retries begins 10 s before the later one.
     std::istringstream lines(
         R"({"time":"2026-01-01T10:00:00+00:00","event":"started","retryRatio":0.2,"retrySlack":5,"retryWindowMs":10000}
 {"time":"2026-01-01T10:00:01+00:00","event":"request_sent","request":"a","service":"model","repeatCause":"","waitedMs":500}
--- a/tests/unit/retry_ledger_test.cpp
+++ b/tests/unit/retry_ledger_test.cpp
@@ -40,8 +40,7 @@
 
 BOOST_AUTO_TEST_CASE(a_daemon_that_has_just_started_or_hears_nobody_spends_none_of_the_fleet_s_slack)
 {
-    // All daemons of a fleet were killed at once: each knows only the seeds and spent its share in its last
-    // incarnation.
+    // All daemons of a fleet were killed at once: each knows only the seeds and spent its share in its previous run.
     const auto window = absl::Seconds(10);
     BOOST_TEST(slackShare({3, true, true, absl::Seconds(1)}, window) == 0);
     BOOST_TEST(slackShare({3, false, true, absl::Seconds(60)}, window) == 0);
--- a/tests/unit/target_life_test.cpp
+++ b/tests/unit/target_life_test.cpp
@@ -81,8 +81,8 @@
     BOOST_TEST(targets.listed("model", at(3)).size() == 1U);
     state.intake.changes({{lifeOf("a", FirstStart, true)}}, {0, 4}, "a slow peer", at(3));
     BOOST_TEST(targets.listed("model", at(4)).size() == 1U);
-    state.intake.changes({{lifeOf("a", FirstStart), true}}, {0, 5}, "a slow peer",
-                         at(4)); // This removes the earlier incarnation only.
+    // This removes the earlier incarnation only.
+    state.intake.changes({{lifeOf("a", FirstStart), true}}, {0, 5}, "a slow peer", at(4));
     BOOST_TEST(targets.listed("model", at(5)).size() == 1U);
     state.intake.changes({{lifeOf("a", SecondStart), true}}, {0, 6}, "test", at(5));
     BOOST_TEST(targets.listed("model", at(6)).empty());
@@ -145,8 +145,8 @@
     BOOST_TEST(follower.context.targets.listed("model", at(3)).size() == 1U);
     state.intake.changes({{lifeOf("a", FirstStart)}}, {0, 3}, "test", at(3));
     BOOST_TEST(targets.listed("model", at(4)).size() == 2U);
-    state.intake.changes({{lifeOf("a", 0)}}, {0, 4}, "test",
-                         at(4)); // The target had given its start time, so another program wrote this entry.
+    // The target had given its start time, so another program wrote this entry.
+    state.intake.changes({{lifeOf("a", 0)}}, {0, 4}, "test", at(4));
     BOOST_TEST(targets.listed("model", at(5)).size() == 1U);
     state.intake.whole({{lifeOf("a", FirstStart)}, {lifeOf("b", FirstStart)}}, {0, 5}, "test", at(5));
     BOOST_TEST(targets.listed("model", at(6)).size() == 2U);
@@ -211,8 +211,8 @@
         second.address = first.address;
         state.intake.whole({{second}, {first}}, {0, 1}, "test", at(0));
         BOOST_TEST(state.context.targets.find("a-second")->listed(at(1)));
-        BOOST_TEST(state.context.targets.find("z-first")->over()
-                   == startsAreTold); // Its position in the list does not matter.
+        // The position in the list does not matter.
+        BOOST_TEST(state.context.targets.find("z-first")->over() == startsAreTold);
         state.intake.changes({{second}}, {0, 2}, "test", at(10));
         BOOST_TEST(state.context.targets.find("a-second")->listed(at(11)));
     }
