--- a/tests/unit/crash_ledger_test.cpp
+++ b/tests/unit/crash_ledger_test.cpp
@@ -28,7 +28,7 @@
     return core::digestOf({core::cat("question ", number)});
 }
 
-/// Returns a ledger with `count` crashes under `Work`, all at time 0.
+/// Counts `count` crashes of different targets under one content, all at time 0.
 CrashLedger ledgerWithEnds(std::uint32_t count)
 {
     CrashLedger ledger;
