--- a/include/spurlug/relay/context.h
+++ b/include/spurlug/relay/context.h
@@ -9,13 +9,13 @@
 #include "spurlug/core/reason.h"
 #include "spurlug/metrics/metrics.h"
 #include "spurlug/net/io.h"
-#include "spurlug/relay/crash_ledger.h"
+#include "spurlug/relay/crash_tracker.h"
 #include "spurlug/relay/domain_links.h"
 #include "spurlug/relay/evacuations.h"
+#include "spurlug/relay/fleet_retry_budget.h"
 #include "spurlug/relay/freshness.h"
 #include "spurlug/relay/placement.h"
-#include "spurlug/relay/retry_ledger.h"
-#include "spurlug/relay/target_log.h"
+#include "spurlug/relay/target_change_log.h"
 #include "spurlug/relay/target_set.h"
 #include "spurlug/settings/relay_settings.h"
 
@@ -45,63 +45,65 @@
     metrics::Metrics &metrics;
     config::RouteTableRef table; ///< Null until the first configuration has been read.
     std::string document; ///< Source text of the table, for peers.
-    std::unordered_map<std::string, config::ShortestPauses> pauses; ///< By service, from the current table.
-    Freshness configurationProof;
+    std::unordered_map<std::string, config::GapObjectives> pauses; ///< By service, from the current table.
+    Freshness configurationFreshness;
     /// When the last attempt to confirm the configuration ended, whether it succeeded or not.
-    core::Time proofTriedAt = absl::InfinitePast();
+    core::Time confirmationTriedAt = absl::InfinitePast();
     /// When the directory last answered a configuration request.
-    core::Time configurationHeardAt = absl::InfinitePast();
+    core::Time configurationAnsweredAt = absl::InfinitePast();
     /// Last time at which the list of targets was known to be the newest.
-    core::Time targetsKnownAt = absl::InfinitePast();
-    core::Time targetsHeardAt = absl::InfinitePast(); ///< When the directory last answered a targets request.
+    core::Time targetsConfirmedAt = absl::InfinitePast();
+    core::Time targetsAnsweredAt = absl::InfinitePast(); ///< When the directory last answered a targets request.
     DirectoryPosition targetsPosition; ///< Directory position of the list of targets.
-    TargetLog targetLog; ///< Recent changes of the list of targets.
+    TargetChangeLog targetLog; ///< Recent changes of the list of targets.
     TargetSet targets;
     Evacuations evacuations;
-    core::Time evacuationsHeardAt = absl::InfinitePast(); ///< When the directory last answered an evacuations request.
+    core::Time evacuationsAnsweredAt
+        = absl::InfinitePast(); ///< When the directory last answered an evacuations request.
     DomainLinks links;
-    RetryLedger retries;
-    CrashLedger crashes;
-    EjectionRule ejection;
+    FleetRetryBudget retries;
+    CrashTracker crashes;
+    EjectionPolicy ejection;
     std::mt19937_64 random;
     control::Roster roster; ///< Live daemons.
-    control::SchedulerClient *scheduling = nullptr; ///< Null: this daemon places requests without a scheduler.
+    control::SchedulerClient *schedulerClient = nullptr; ///< Null: this daemon places requests without a scheduler.
     control::CrashExchange *crashExchange = nullptr; ///< Null: `crashes` is not shared with other daemons.
     bool isolated = false; ///< Whether no daemon answers this one's questions.
-    std::size_t daemons = 1; ///< Live daemons, including this one; at least the number of seeds.
+    std::size_t daemonCount = 1; ///< Live daemons, including this one; at least the number of seeds.
     /// Largest number of daemons of this one's failure domain that this daemon, or one whose heartbeats it received,
     /// ever knew at the same time.
-    std::size_t largestDomain = 1;
+    std::size_t largestDomainSize = 1;
     const core::Time startedAt;
     bool draining = false;
     core::Time drainingSince = absl::InfiniteFuture();
-    std::int64_t inProgress = 0; ///< Requests that have been read and not yet answered.
-    std::uint64_t reservations = 0; ///< Counter for reservation ids, from the start of this process.
-    std::size_t directoryCallers = 1; ///< Estimated number of daemons that read the directory, including this one.
+    std::int64_t requestsInProgress = 0; ///< Requests that have been read and not yet answered.
+    std::uint64_t reservationCounter = 0; ///< Counter for reservation ids, from the start of this process.
+    std::size_t directoryReaders = 1; ///< Estimated number of daemons that read the directory, including this one.
 
     /// \brief What this daemon knows about its fleet. Its share of the fleet-wide retry budget is computed from this.
-    [[nodiscard]] FleetKnowledge fleetKnowledge(core::Time now) const;
+    [[nodiscard]] FleetView fleetView(core::Time now) const;
 
     /// \brief Whether keys can be checked: the configuration was recently known to be the newest, or checks fail open.
-    [[nodiscard]] bool keysAreFresh(core::Time now) const;
+    [[nodiscard]] bool canCheckKeys(core::Time now) const;
 
     /// \brief Whether the information whose absence caused the rejection of a request may arrive shortly, so that the
     /// request is worth holding.
     /// \param lacking Reason for the rejection. NotReady waits for the first configuration, StaleConfiguration for a
     /// newer confirmation; the result is false for all others.
-    [[nodiscard]] bool knowledgeMayComeSoon(core::Reason lacking, core::Time now) const;
+    [[nodiscard]] bool missingDataExpectedSoon(core::Reason rejectionReason, core::Time now) const;
 
     /// \brief Whether a newer confirmation of the configuration may arrive shortly: this daemon isn't isolated, and the
     /// last one is old only because this process didn't run.
-    [[nodiscard]] bool proofMayComeSoon(core::Time now) const;
+    [[nodiscard]] bool confirmationExpectedSoon(core::Time now) const;
 
     /// \brief When the directory last answered for everything that this daemon reads from it. Allows for the longer
     /// waits for targets and evacuations.
-    [[nodiscard]] core::Time directoryHeardAt() const;
+    [[nodiscard]] core::Time directoryAnsweredAt() const;
 
     /// \brief Activates a configuration; ignores it unless it is newer than the current one.
     /// \param from Source of the configuration, for logs.
-    void adopt(config::RouteTableRef newer, std::string source, std::string_view from, core::Time now);
+    void activateConfiguration(config::RouteTableRef newer, std::string sourceText, std::string_view from,
+                               core::Time now);
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/control_plane_impl.h
+++ b/include/spurlug/relay/control_plane_impl.h
@@ -12,28 +12,29 @@
 template<Directory Source>
 ControlPlane<Source>::ControlPlane(RelayContext &context, Source &source)
     : m_context(context)
-    , m_source(source)
-    , m_peers(context)
+    , m_directory(source)
+    , m_transport(context)
     , m_scheduler(context)
-    , m_scheduling(context, m_scheduler,
-                   [this](const core::Address &to, const control::Message &message) {
-                       m_peers.sendTo(to, control::writeMessage(message));
-                   })
-    , m_crashes(context,
-                [this](const core::Address &to, const control::Message &message) {
-                    m_peers.sendTo(to, control::writeMessage(message));
-                })
-    , m_sources(context.roster, context.settings.failureDomain, context.settings.readersPerDomain, context.random(),
-                context.startedAt)
-    , m_follower(context, source, m_sources)
-    , m_asksWait(context.loop)
+    , m_schedulerClient(context, m_scheduler,
+                        [this](const core::Address &to, const control::Message &message) {
+                            m_transport.sendTo(to, control::writeMessage(message));
+                        })
+    , m_crashExchange(context,
+                      [this](const core::Address &to, const control::Message &message) {
+                          m_transport.sendTo(to, control::writeMessage(message));
+                      })
+    , m_sourceSelector(context.roster, context.settings.failureDomain, context.settings.readersPerDomain,
+                       context.random(), context.startedAt)
+    , m_directoryWatcher(context, source, m_sourceSelector)
+    , m_wakeQueue(context.loop)
 {
-    context.scheduling = &m_scheduling;
-    context.crashExchange = &m_crashes;
-    m_peers.onNewPeer([this](const core::Address &peer) { m_crashes.greet(peer, core::now()); });
-    m_scheduler.onWaiting([this] { wake(); });
-    m_peers.onMessage(
-        [this](control::Message message, const core::Address &from) { take(std::move(message), from, core::now()); });
+    context.schedulerClient = &m_schedulerClient;
+    context.crashExchange = &m_crashExchange;
+    m_transport.onNewPeer([this](const core::Address &peer) { m_crashExchange.sendRecentTo(peer, core::now()); });
+    m_scheduler.setQueuedCallback([this] { scheduleCheck(); });
+    m_transport.onMessage([this](control::Message message, const core::Address &from) {
+        handleMessage(std::move(message), from, core::now());
+    });
 }
 
 template<Directory Source>
@@ -45,100 +46,101 @@
 template<Directory Source>
 void ControlPlane<Source>::start()
 {
-    spawn(m_follower.followConfiguration());
-    spawn(m_follower.followTargets());
+    spawn(m_directoryWatcher.watchConfiguration());
+    spawn(m_directoryWatcher.watchTargets());
     if (m_context.settings.bounds.evacuate > absl::ZeroDuration()) {
-        spawn(m_follower.followEvacuations());
+        spawn(m_directoryWatcher.watchEvacuations());
     }
-    spawn(m_peers.sendHeartbeats());
-    spawn(m_peers.receive());
-    spawn(m_scheduling.reportWork());
-    spawn(serveAsks());
-    spawn(followSources());
-    spawn(noteRoles());
+    spawn(m_transport.sendHeartbeats());
+    spawn(m_transport.receiveDatagrams());
+    spawn(m_schedulerClient.reportWork());
+    spawn(servePlacementRequests());
+    spawn(querySources());
+    spawn(trackRoles());
 }
 
 template<Directory Source>
 void ControlPlane<Source>::announceStop(core::Time now)
 {
-    m_peers.announce(now); // Other daemons take over its roles at once.
+    m_transport.announceState(now); // Other daemons take over its roles at once.
 }
 
 template<Directory Source>
-void ControlPlane<Source>::take(control::Message message, const core::Address &from, core::Time now)
+void ControlPlane<Source>::handleMessage(control::Message message, const core::Address &from, core::Time now)
 {
-    const auto reply = [&](const control::Message &answer) { m_peers.sendTo(from, control::writeMessage(answer)); };
+    const auto reply = [&](const control::Message &answer) { m_transport.sendTo(from, control::writeMessage(answer)); };
     if (const auto *report = std::get_if<control::WorkReport>(&message)) {
-        m_scheduler.report(*report, now);
-        if (report->wantsWord && !m_context.draining && m_context.table) {
-            reply(control::ReportTaken{m_context.settings.vm});
+        m_scheduler.applyReport(*report, now);
+        if (report->wantsAck && !m_context.draining && m_context.table) {
+            reply(control::ReportAck{m_context.settings.vm});
         }
-    } else if (const auto *ask = std::get_if<control::PlacementAsk>(&message)) {
-        m_askers[ask->vm] = from;
-        reply(m_scheduler.ask(*ask, now));
+    } else if (const auto *ask = std::get_if<control::PlacementRequest>(&message)) {
+        m_replyAddresses[ask->vm] = from;
+        reply(m_scheduler.handleRequest(*ask, now));
     } else if (const auto *cancel = std::get_if<control::PlacementCancel>(&message)) {
         m_scheduler.cancel(*cancel);
-    } else if (const auto *answer = std::get_if<control::PlacementAnswer>(&message)) {
-        m_scheduling.take(*answer, now);
-    } else if (const auto *taken = std::get_if<control::ReportTaken>(&message)) {
-        m_scheduling.trust(taken->vm, now);
-    } else if (const auto *question = std::get_if<control::ProofQuestion>(&message)) {
-        reply(proofAnswer(m_context, question->number, m_follower.targetsLink().regainedAt(), now));
-    } else if (const auto *proof = std::get_if<control::ProofAnswer>(&message)) {
-        takeProof(*proof, now);
-    } else if (const auto *crashes = std::get_if<control::CrashNews>(&message)) {
-        m_crashes.take(*crashes, now);
+    } else if (const auto *answer = std::get_if<control::PlacementReply>(&message)) {
+        m_schedulerClient.handleReply(*answer, now);
+    } else if (const auto *taken = std::get_if<control::ReportAck>(&message)) {
+        m_schedulerClient.clearSuspicion(taken->vm, now);
+    } else if (const auto *question = std::get_if<control::FreshnessQuery>(&message)) {
+        reply(makeFreshnessReply(m_context, question->number, m_directoryWatcher.targetsAvailability().recoveredAt(),
+                                 now));
+    } else if (const auto *proof = std::get_if<control::FreshnessReply>(&message)) {
+        handleFreshnessReply(*proof, now);
+    } else if (const auto *crashes = std::get_if<control::CrashReport>(&message)) {
+        m_crashExchange.handleReport(*crashes, now);
     }
 }
 
 template<Directory Source>
 void ControlPlane<Source>::sendGrants(core::Time now)
 {
-    for (const auto &[vm, answer] : m_scheduler.serveWaiting(now)) {
-        const auto asker = m_askers.find(vm);
+    for (const auto &[vm, answer] : m_scheduler.placeQueued(now)) {
+        const auto asker = m_replyAddresses.find(vm);
         if (vm == m_context.settings.vm) {
-            m_scheduling.take(answer, now);
-        } else if (asker != m_askers.end()) {
-            m_peers.sendTo(asker->second, control::writeMessage(answer));
+            m_schedulerClient.handleReply(answer, now);
+        } else if (asker != m_replyAddresses.end()) {
+            m_transport.sendTo(asker->second, control::writeMessage(answer));
         }
     }
 }
 
 template<Directory Source>
-net::Task<> ControlPlane<Source>::serveAsks()
+net::Task<> ControlPlane<Source>::servePlacementRequests()
 {
     for (;;) {
-        const auto woken = co_await m_asksWait.take(core::now() + IdlePause);
+        const auto woken = co_await m_wakeQueue.take(core::now() + IdleCheckInterval);
         if (woken) {
             // Requests and reports that arrive during the pause are handled in one check, which bounds the number of
             // checks however many arrive.
-            co_await net::sleepFor(WaitingPause);
+            co_await net::sleepFor(RequestCheckDelay);
         }
         const auto now = core::now();
-        m_scheduler.forgetSilent(now);
+        m_scheduler.removeExpired(now);
         sendGrants(now);
-        m_wakePosted = false;
-        if (m_scheduler.waiting() > 0) {
-            wake();
+        m_checkScheduled = false;
+        if (m_scheduler.queuedCount() > 0) {
+            scheduleCheck();
         }
     }
 }
 
 template<Directory Source>
-void ControlPlane<Source>::wake()
+void ControlPlane<Source>::scheduleCheck()
 {
-    if (!std::exchange(m_wakePosted, true)) {
-        m_asksWait.post(Wake{});
+    if (!std::exchange(m_checkScheduled, true)) {
+        m_wakeQueue.post(WakeSignal{});
     }
 }
 
 template<Directory Source>
-net::Task<> ControlPlane<Source>::noteRoles()
+net::Task<> ControlPlane<Source>::trackRoles()
 {
     std::map<control::Role, bool> held;
     const auto note = [&](control::Role role, bool holds) {
         if (std::exchange(held[role], holds) != holds) {
-            m_context.metrics.count(holds ? metrics::Counter::RolesTaken : metrics::Counter::RolesLost);
+            m_context.metrics.count(holds ? metrics::Counter::RolesAcquired : metrics::Counter::RolesLost);
             core::log(core::LogLevel::Info, holds ? "role_taken" : "role_lost",
                       {{"role", core::nameOf(role)}, {"daemons", m_context.roster.size()}});
         }
@@ -146,29 +148,30 @@
     for (;;) {
         const auto first = m_context.roster.holders(control::Role::Scheduler, 1);
         note(control::Role::Scheduler, !first.empty() && first.front().vm == m_context.settings.vm);
-        note(control::Role::Reader, m_sources.isReader());
-        co_await net::sleepFor(RoleLook);
+        note(control::Role::DirectoryReader, m_sourceSelector.isReader());
+        co_await net::sleepFor(RoleCheckInterval);
     }
 }
 
 template<Directory Source>
-net::Task<> ControlPlane<Source>::followSources()
+net::Task<> ControlPlane<Source>::querySources()
 {
     for (;;) {
-        co_await net::sleepFor(SourceLook);
+        co_await net::sleepFor(SourceCheckInterval);
         const auto now = core::now();
-        m_crashes.gossip(now);
-        const auto question = m_sources.next(m_context.directoryHeardAt(), now);
-        noteIsolation(m_sources.isolated());
+        m_crashExchange.gossip(now);
+        const auto question = m_sourceSelector.nextQuery(m_context.directoryAnsweredAt(), now);
+        setIsolated(m_sourceSelector.isolated());
         if (question) {
-            m_context.metrics.count(metrics::Counter::PeerQuestions);
-            m_peers.sendTo(question->source.datagrams, control::writeMessage(control::ProofQuestion{question->number}));
+            m_context.metrics.count(metrics::Counter::FreshnessQueries);
+            m_transport.sendTo(question->source.datagramAddress,
+                               control::writeMessage(control::FreshnessQuery{question->queryNumber}));
         }
     }
 }
 
 template<Directory Source>
-void ControlPlane<Source>::noteIsolation(bool isolated)
+void ControlPlane<Source>::setIsolated(bool isolated)
 {
     if (std::exchange(m_context.isolated, isolated) != isolated) {
         core::log(core::LogLevel::Warning, isolated ? "peers_lost" : "peers_regained",
@@ -177,51 +180,52 @@
 }
 
 template<Directory Source>
-void ControlPlane<Source>::takeProof(const control::ProofAnswer &proof, core::Time now)
+void ControlPlane<Source>::handleFreshnessReply(const control::FreshnessReply &proof, core::Time now)
 {
-    const auto askedAt = m_sources.answered(proof, now);
+    const auto askedAt = m_sourceSelector.handleReply(proof, now);
     if (!askedAt) {
         return;
     }
-    noteIsolation(m_sources.isolated());
-    m_context.proofTriedAt = now;
+    setIsolated(m_sourceSelector.isolated());
+    m_context.confirmationTriedAt = now;
     // Ages in the answer are subtracted from the time of the question: the answer may have been delayed in transit.
     if (proof.version > 0 && proof.proofAge != absl::InfiniteDuration()) {
-        m_context.configurationProof.confirm(proof.version, *askedAt - proof.proofAge);
+        m_context.configurationFreshness.confirm(proof.version, *askedAt - proof.proofAge);
     }
-    takeEvacuations(m_context, proof.evacuations, "peer", now);
-    m_follower.targetsLink().noteRegained(*askedAt - proof.regainedAge);
+    applyEvacuations(m_context, proof.evacuations, "peer", now);
+    m_directoryWatcher.targetsAvailability().noteRecovered(*askedAt - proof.directoryRecoveryAge);
     const bool lacksConfiguration = proof.version > (m_context.table ? m_context.table->version : 0);
     const bool lacksTargets = proof.targetsPosition > m_context.targetsPosition;
     if (!lacksTargets) {
-        m_context.targetsKnownAt = std::max(m_context.targetsKnownAt, *askedAt - proof.targetsAge);
+        m_context.targetsConfirmedAt = std::max(m_context.targetsConfirmedAt, *askedAt - proof.targetsAge);
     }
     const auto *source = m_context.roster.find(proof.vm);
     if ((lacksConfiguration || lacksTargets) && source != nullptr && now >= m_fetchingUntil) {
         m_fetchingUntil = now + FetchTimeout;
-        spawn(fetch(holders(*source)));
+        spawn(fetchMissing(fetchCandidates(*source)));
     }
 }
 
 template<Directory Source>
-std::vector<core::Address> ControlPlane<Source>::holders(const control::Member &source)
+std::vector<core::Address> ControlPlane<Source>::fetchCandidates(const control::Member &source)
 {
-    std::vector<core::Address> peers{source.control};
-    if (m_context.targetsPosition.known()) {
+    std::vector<core::Address> peers{source.controlAddress};
+    if (m_context.targetsPosition.isKnown()) {
         return peers; // Only a few changes are missing.
     }
-    auto near = m_context.roster.holdersIn(m_context.settings.failureDomain, control::Role::Reader, m_context.daemons);
+    auto near = m_context.roster.holdersIn(m_context.settings.failureDomain, control::Role::DirectoryReader,
+                                           m_context.daemonCount);
     std::erase_if(near,
                   [&](const auto &member) { return member.vm == source.vm || member.vm == m_context.settings.vm; });
     if (!near.empty()) {
         const auto drawn = std::uniform_int_distribution<std::size_t>(0, near.size() - 1)(m_context.random);
-        peers.insert(peers.begin(), near[drawn].control);
+        peers.insert(peers.begin(), near[drawn].controlAddress);
     }
     return peers;
 }
 
 template<Directory Source>
-net::Task<> ControlPlane<Source>::fetch(std::vector<core::Address> peers)
+net::Task<> ControlPlane<Source>::fetchMissing(std::vector<core::Address> peers)
 {
     for (const auto &peer : peers) {
         const bool found = co_await fetchFrom(peer);
@@ -253,16 +257,16 @@
         const auto state = readPeerState(answer->body);
         const auto now = core::now();
         if (state.version > 0 && state.proofAge != absl::InfiniteDuration()) {
-            m_context.configurationProof.confirm(state.version, askedAt - state.proofAge);
+            m_context.configurationFreshness.confirm(state.version, askedAt - state.proofAge);
         }
         if (!state.document.empty()) {
-            m_context.adopt(m_source.readDocument(state.document), state.document, "peer", now);
+            m_context.activateConfiguration(m_directory.readDocument(state.document), state.document, "peer", now);
         }
-        m_context.targetsKnownAt = std::max(m_context.targetsKnownAt, askedAt - state.targetsAge);
-        if (state.wholeList) {
-            m_follower.intake().whole(state.targets, state.targetsPosition, "peer", now);
+        m_context.targetsConfirmedAt = std::max(m_context.targetsConfirmedAt, askedAt - state.targetsAge);
+        if (state.isFullList) {
+            m_directoryWatcher.targetListUpdater().applyFullList(state.targets, state.targetsPosition, "peer", now);
         } else {
-            m_follower.intake().changes(state.targets, state.targetsPosition, "peer", now);
+            m_directoryWatcher.targetListUpdater().applyChanges(state.targets, state.targetsPosition, "peer", now);
         }
         co_return state.version > knownVersion || state.targetsPosition > known;
     } catch (const core::InvalidDocument &error) {
--- a/include/spurlug/relay/directory.h
+++ b/include/spurlug/relay/directory.h
@@ -44,7 +44,7 @@
 struct TargetChange
 {
     TargetEntry entry; ///< If gone or unusable, only its id and start time, as far as known.
-    bool gone = false;
+    bool removed = false;
     std::string fault{}; ///< Why the entry is unusable; empty if it is valid.
 };
 
@@ -61,7 +61,7 @@
 struct EvacuationChange
 {
     std::string failureDomain;
-    bool gone = false; ///< Whether the evacuation was cancelled.
+    bool cancelled = false; ///< Whether the evacuation was cancelled.
 };
 
 /// \brief All evacuated failure domains, or the changes.
--- a/include/spurlug/relay/directory_position.h
+++ b/include/spurlug/relay/directory_position.h
@@ -18,7 +18,7 @@
     std::int64_t era = 0;
     std::int64_t revision = 0; ///< 0: nothing has been read yet.
 
-    [[nodiscard]] bool known() const noexcept
+    [[nodiscard]] bool isKnown() const noexcept
     {
         return revision > 0;
     }
--- a/include/spurlug/relay/domain_links.h
+++ b/include/spurlug/relay/domain_links.h
@@ -30,14 +30,14 @@
 
     /// \brief Records that a daemon or engine in one domain could not reach a target in another.
     /// \param target Hash of the target incarnation.
-    void failed(const std::string &from, const std::string &to, std::uint32_t target, core::Time now);
+    void noteFailure(const std::string &from, const std::string &to, std::uint32_t target, core::Time now);
     /// \brief Records that a connection between two domains succeeded.
-    void reached(const std::string &from, const std::string &to);
+    void noteSuccess(const std::string &from, const std::string &to);
 
     /// @}
 
     /// \brief Whether the link between two domains is considered down. Never true for a domain and itself.
-    [[nodiscard]] bool parted(const std::string &from, const std::string &to, core::Time now) const;
+    [[nodiscard]] bool isDown(const std::string &from, const std::string &to, core::Time now) const;
 
 private:
     struct Failures
@@ -45,11 +45,11 @@
         std::vector<std::uint32_t> targets; ///< Distinct targets that failed since the last success.
         core::Time lastAt = absl::InfinitePast();
     };
-    using Pair = std::pair<std::string, std::string>;
+    using DomainPair = std::pair<std::string, std::string>;
 
-    [[nodiscard]] static Pair pairOf(const std::string &left, const std::string &right);
+    [[nodiscard]] static DomainPair domainPair(const std::string &left, const std::string &right);
 
-    std::map<Pair, Failures> m_failures;
+    std::map<DomainPair, Failures> m_failures;
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/engine_estimate.h
+++ b/include/spurlug/relay/engine_estimate.h
@@ -22,25 +22,26 @@
 {
 public:
     EngineEstimate(const config::EngineCosts &costs, const PromptRequest &request,
-                   const std::vector<Candidate> &candidates, const PlacementRule &rule, std::uint64_t pick);
+                   const std::vector<Candidate> &candidates, const PlacementWeights &weights,
+                   std::uint64_t randomValue);
 
     /// \brief Number of candidates.
     [[nodiscard]] std::size_t size() const noexcept;
     [[nodiscard]] const Candidate &at(std::size_t candidate) const noexcept;
 
     /// \brief Whether a candidate has streams that tolerate only short gaps, or is reserved for them.
-    [[nodiscard]] bool servesTight(std::size_t candidate) const noexcept;
+    [[nodiscard]] bool servesShortGaps(std::size_t candidate) const noexcept;
     /// \brief Whether the engine may answer and has a free slot.
     [[nodiscard]] bool hasSlot(std::size_t candidate) const noexcept;
     /// \brief Whether the engine accepts one more prefill part for another engine.
-    [[nodiscard]] bool takesPart(std::size_t candidate) const noexcept;
+    [[nodiscard]] bool acceptsPart(std::size_t candidate) const noexcept;
     /// \brief Unreserved KV memory, tokens; below 0 if too much was reserved.
     [[nodiscard]] std::int64_t freeMemory(std::size_t candidate) const noexcept;
     /// \brief Whether the prompt and its answer fit into the unreserved KV memory.
-    [[nodiscard]] bool holdsPrompt(std::size_t candidate) const noexcept;
+    [[nodiscard]] bool fitsPrompt(std::size_t candidate) const noexcept;
 
     /// \brief Time of the prefill that is queued at the engine.
-    [[nodiscard]] double aheadMs(std::size_t candidate) const noexcept;
+    [[nodiscard]] double queuedPrefillMs(std::size_t candidate) const noexcept;
     /// \brief Time until the engine has prefilled a part after its current work.
     [[nodiscard]] double finishMs(std::size_t candidate, double part) const noexcept;
     /// \brief Time until the target and all helpers have prefilled their parts.
@@ -50,36 +51,36 @@
     [[nodiscard]] double slotWaitMs(std::size_t candidate) const noexcept;
     /// \brief Weighted delay beyond the tolerated gaps of the engine's streams if it prefills one more part: a batch
     /// pass lasts until its prefill is done.
-    [[nodiscard]] double harmMs(std::size_t candidate, double part) const noexcept;
+    [[nodiscard]] double streamDelayCost(std::size_t candidate, double part) const noexcept;
     /// \brief Whether the engine's streams stay within their tolerated gaps if it prefills one more part. An engine
     /// without streams accepts parts of any length, but only if little prefill is queued there.
-    [[nodiscard]] bool staysCalm(std::size_t candidate, double part) const noexcept;
+    [[nodiscard]] bool staysInTime(std::size_t candidate, double part) const noexcept;
     /// \brief Cost of reaching the engine, plus jitter that differs by request, so that daemons which see the same
     /// loads choose differently.
-    [[nodiscard]] double wayMs(std::size_t candidate) const noexcept;
+    [[nodiscard]] double networkCostMs(std::size_t candidate) const noexcept;
     /// \brief Whether the engine is among the random subset that the request considers. The older the known loads, the
     /// more daemons choose by the same ones and the smaller the subset.
-    [[nodiscard]] bool considered(std::size_t candidate) const noexcept;
+    [[nodiscard]] bool isConsidered(std::size_t candidate) const noexcept;
     /// \brief Total cost of prefilling a part at the engine.
-    [[nodiscard]] double readingCost(std::size_t candidate, double part) const noexcept;
+    [[nodiscard]] double prefillCost(std::size_t candidate, double part) const noexcept;
 
 private:
     /// Longest batch pass that keeps streams with the given tolerated gap in time.
-    [[nodiscard]] double longestPassMs(core::Duration pause) const noexcept;
+    [[nodiscard]] double maxPassMs(core::Duration gap) const noexcept;
 
     const config::EngineCosts &m_costs;
     const PromptRequest &m_request;
     const std::vector<Candidate> &m_candidates;
-    const PlacementRule &m_rule;
-    const std::uint64_t m_pick;
+    const PlacementWeights &m_weights;
+    const std::uint64_t m_randomValue;
 };
 
 //----------------------------------------------------------------------------------------------------------------------
 
 /// \brief Places a prompt whose stream tolerates only short gaps on one engine or a few, where its first event comes
 /// soonest and preferably where other such streams are.
-[[nodiscard]] std::optional<Placement> placeTight(const config::EngineCosts &costs, const PromptRequest &request,
-                                                  const EngineEstimate &engines, const PlacementRule &rule);
+[[nodiscard]] std::optional<Placement> placeShortGaps(const config::EngineCosts &costs, const PromptRequest &request,
+                                                      const EngineEstimate &engines, const PlacementWeights &weights);
 
 /// \brief Places a prompt of a stream that tolerates longer gaps evenly on all engines whose streams stay in time, so
 /// that no batch pass becomes long anywhere.
@@ -88,6 +89,6 @@
 /// for it, or, if it is late anyway, while it would occupy few of them for long. The KV memory of a prompt that fits no
 /// single engine is divided among several.
 [[nodiscard]] std::optional<Placement> placeSpread(const config::EngineCosts &costs, const PromptRequest &request,
-                                                   const EngineEstimate &engines, const PlacementRule &rule);
+                                                   const EngineEstimate &engines, const PlacementWeights &weights);
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/evacuations.h
+++ b/include/spurlug/relay/evacuations.h
@@ -26,11 +26,11 @@
 /// \brief Applies the state reported by the directory or a peer unless it is older than the known one. The last known
 /// state stays in force while no newer one is available.
 /// \param from Source of the state, for logging.
-void takeEvacuations(RelayContext &context, const Evacuations &told, std::string_view from, core::Time now);
+void applyEvacuations(RelayContext &context, const Evacuations &reported, std::string_view from, core::Time now);
 
 /// \brief Applies the list of a new directory era. Evacuations that were lost with the old era are written again; until
 /// they can have been, the known ones stay in force, and the directory's next list replaces this one.
-void takeRestoredEvacuations(RelayContext &context, Evacuations told, core::Time now);
+void applyRestoredEvacuations(RelayContext &context, Evacuations restored, core::Time now);
 
 /// \brief Whether the evacuated failure domains are known, so that requests may be sent.
 [[nodiscard]] bool evacuationsKnown(const RelayContext &context) noexcept;
--- a/include/spurlug/relay/event_splitter.h
+++ b/include/spurlug/relay/event_splitter.h
@@ -24,16 +24,16 @@
 {
 public:
     /// \brief Appends received bytes.
-    void feed(std::string_view bytes);
+    void append(std::string_view bytes);
 
     /// \brief Removes and returns the next event; nothing until it is complete.
     [[nodiscard]] std::optional<StreamEvent> next();
 
     /// \brief Whether any bytes are buffered. After `next` returned nothing, they are an incomplete event.
-    [[nodiscard]] bool inTheMiddle() const noexcept;
+    [[nodiscard]] bool hasPartialEvent() const noexcept;
 
     /// \brief Number of buffered bytes.
-    [[nodiscard]] std::size_t waiting() const noexcept;
+    [[nodiscard]] std::size_t bufferedBytes() const noexcept;
 
 private:
     std::string m_buffer;
--- a/include/spurlug/relay/fleet_membership.h
+++ b/include/spurlug/relay/fleet_membership.h
@@ -41,7 +41,7 @@
     FleetMembership &operator=(const FleetMembership &) = delete;
 
     /// \brief Sets the callback for peers that are new or have restarted.
-    void onNewPeer(std::function<void(const core::Address &)> tell);
+    void onNewPeer(std::function<void(const core::Address &)> callback);
 
     /// \name Commands
     /// @{
@@ -49,9 +49,9 @@
     /// \brief Sends one round of heartbeats and removes peers that timed out.
     void sendRound(core::Time now);
     /// \brief Sends this daemon's state to all members at once, as when it begins to stop.
-    void announce(core::Time now);
+    void announceState(core::Time now);
     /// \brief Handles a received heartbeat; answers it if the sender asks for that.
-    void take(const membership::Heartbeat &heartbeat, core::Time now);
+    void handleHeartbeat(const membership::Heartbeat &heartbeat, core::Time now);
 
     /// @}
     /// \name Queries
@@ -63,59 +63,59 @@
 
 private:
     /// Reported state of a failure domain.
-    struct Told
+    struct DomainReport
     {
         std::vector<control::Member> members;
-        std::size_t daemons = 0;
-        core::Time saidAt = absl::InfinitePast(); ///< When one of its registrars reported it.
+        std::size_t daemonCount = 0;
+        core::Time reportedAt = absl::InfinitePast(); ///< When one of its registrars reported it.
     };
 
-    [[nodiscard]] core::Duration settledInterval(core::Time now) const;
+    [[nodiscard]] core::Duration steadyInterval(core::Time now) const;
     [[nodiscard]] membership::DaemonState state(core::Time now) const;
-    [[nodiscard]] membership::Heartbeat compose(core::Time now);
-    void answer(const core::Address &to, std::uint32_t theirDigest, core::Time now);
-    void forgetSilent(core::Time now);
-    void notePause(core::Time now);
+    [[nodiscard]] membership::Heartbeat makeHeartbeat(core::Time now);
+    void sendReply(const core::Address &to, std::uint32_t peerDigest, core::Time now);
+    void removeSilentPeers(core::Time now);
+    void detectPause(core::Time now);
     /// \returns Whether it lists members or changes the number of daemons.
-    bool noteRoster(const membership::DomainRoster &told, core::Time now);
-    void refresh(core::Time now);
+    bool applyReportedRoster(const membership::DomainRoster &reported, core::Time now);
+    void refreshRoster(core::Time now);
     /// Whether this daemon receives the heartbeats of its whole failure domain by now.
-    [[nodiscard]] bool keepsList(core::Time now) const;
-    [[nodiscard]] bool hearsAll(const std::string &domain, core::Time now) const;
+    [[nodiscard]] bool hasFullMemberList(core::Time now) const;
+    [[nodiscard]] bool tracksDomain(const std::string &domain, core::Time now) const;
     /// Members of a domain that hold roles, and the next candidates.
-    [[nodiscard]] std::vector<control::Member> holdersIn(const std::string &domain, core::Time now) const;
+    [[nodiscard]] std::vector<control::Member> roleCandidatesIn(const std::string &domain, core::Time now) const;
     /// Members whose heartbeats this daemon receives, and those reported by others.
-    [[nodiscard]] std::vector<control::Member> withTold(const std::vector<control::Member> &heard) const;
-    [[nodiscard]] std::size_t daemonsIn(const std::string &domain, core::Time now) const;
-    [[nodiscard]] const std::vector<membership::DomainRoster> &rosters(core::Time now);
-    [[nodiscard]] std::vector<core::Address> receivers(core::Time now);
-    void addRegistrars(const std::string &domain, std::size_t most, std::set<std::string> &to) const;
-    [[nodiscard]] bool seeksOthers(core::Time now) const;
+    [[nodiscard]] std::vector<control::Member> mergeReported(const std::vector<control::Member> &directMembers) const;
+    [[nodiscard]] std::size_t daemonCountIn(const std::string &domain, core::Time now) const;
+    [[nodiscard]] const std::vector<membership::DomainRoster> &currentRosters(core::Time now);
+    [[nodiscard]] std::vector<core::Address> recipients(core::Time now);
+    void addRegistrars(const std::string &domain, std::size_t maxCount, std::set<std::string> &addressTexts) const;
+    [[nodiscard]] bool needsDiscovery(core::Time now) const;
     [[nodiscard]] core::Address nextSeed();
 
     RelayContext &m_context;
     Send m_send;
-    std::function<void(const core::Address &)> m_tellNewPeer = [](const core::Address &) {};
+    std::function<void(const core::Address &)> m_onNewPeer = [](const core::Address &) {};
     membership::PeerTable m_peers; ///< Daemons whose heartbeats this daemon receives itself.
-    std::set<std::string> m_alive; ///< VMs of those in `m_peers` that were heard from recently.
+    std::set<std::string> m_alivePeers; ///< VMs of those in `m_peers` that were heard from recently.
     /// This daemon and those of `m_alive`. As a registrar it reports these only: if reports were forwarded as its own,
     /// a dead daemon would count as live for as long as two daemons report it to each other.
-    control::Roster m_heard;
-    std::map<std::string, Told> m_told; ///< By failure domain.
+    control::Roster m_directMembers;
+    std::map<std::string, DomainReport> m_domainReports; ///< By failure domain.
     /// Addresses by failure domain, including unreachable domains.
     std::map<std::string, std::set<std::string>> m_lastRegistrars;
     std::vector<membership::DomainRoster> m_rosters; ///< As sent to others; rebuilt after a while.
     std::uint32_t m_rostersDigest = 0; ///< Of `m_rosters`.
-    core::Time m_rostersAt = absl::InfinitePast();
-    core::Time m_refreshedAt = absl::InfinitePast(); ///< When the roster was last rebuilt.
+    core::Time m_rostersBuiltAt = absl::InfinitePast();
+    core::Time m_rosterRefreshedAt = absl::InfinitePast(); ///< When the roster was last rebuilt.
     core::Time m_registrarSince = absl::InfiniteFuture();
-    core::Time m_answeredAt = absl::InfinitePast(); ///< When a registrar of this domain last answered.
-    bool m_knowsNobody = true; ///< Whether no answer has come since the start.
-    core::Time m_lastRound = absl::InfinitePast();
+    core::Time m_registrarAnsweredAt = absl::InfinitePast(); ///< When a registrar of this domain last answered.
+    bool m_awaitsFirstAnswer = true; ///< Whether no answer has come since the start.
+    core::Time m_lastRoundAt = absl::InfinitePast();
     const std::uint64_t m_incarnation;
     std::uint64_t m_sequence = 0;
-    core::Duration m_settledInterval; ///< Between rounds after the startup period.
-    std::size_t m_seed = 0; ///< Index of the next seed to ask, modulo their number.
+    core::Duration m_steadyInterval; ///< Between rounds after the startup period.
+    std::size_t m_nextSeedIndex = 0; ///< Index of the next seed to ask, modulo their number.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/freshness.h
+++ b/include/spurlug/relay/freshness.h
@@ -27,30 +27,30 @@
     /// \brief Records that `version` was the newest at some time after `askedAt`.
     void confirm(std::int64_t version, core::Time askedAt)
     {
-        auto &provenAt = m_proofs.try_emplace(version, askedAt).first->second;
-        provenAt = std::max(provenAt, askedAt);
-        if (m_proofs.size() > MostVersions) {
-            m_proofs.erase(m_proofs.begin());
+        auto &confirmedAt = m_confirmedAt.try_emplace(version, askedAt).first->second;
+        confirmedAt = std::max(confirmedAt, askedAt);
+        if (m_confirmedAt.size() > MaxVersions) {
+            m_confirmedAt.erase(m_confirmedAt.begin());
         }
     }
 
     /// \brief The newest confirmed version; 0 if there is none.
-    [[nodiscard]] std::int64_t version() const noexcept
+    [[nodiscard]] std::int64_t newestVersion() const noexcept
     {
-        return m_proofs.empty() ? 0 : m_proofs.rbegin()->first;
+        return m_confirmedAt.empty() ? 0 : m_confirmedAt.rbegin()->first;
     }
 
     /// \brief Age of the newest confirmation of `version`; infinite if there is none.
     [[nodiscard]] core::Duration age(std::int64_t version, core::Time now) const noexcept
     {
-        const auto found = m_proofs.find(version);
-        return found == m_proofs.end() || version <= 0 ? absl::InfiniteDuration() : now - found->second;
+        const auto found = m_confirmedAt.find(version);
+        return found == m_confirmedAt.end() || version <= 0 ? absl::InfiniteDuration() : now - found->second;
     }
 
 private:
-    static constexpr std::size_t MostVersions = 8; ///< A daemon is at most a few versions behind.
+    static constexpr std::size_t MaxVersions = 8; ///< A daemon is at most a few versions behind.
 
-    std::map<std::int64_t, core::Time> m_proofs; ///< Latest `askedAt` for each version.
+    std::map<std::int64_t, core::Time> m_confirmedAt; ///< Latest `askedAt` for each version.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/peer_state.h
+++ b/include/spurlug/relay/peer_state.h
@@ -25,21 +25,21 @@
     core::Duration targetsAge = absl::InfiniteDuration();
     DirectoryPosition targetsPosition; ///< Directory position that `targets` lead up to.
     /// Whether `targets` is the full list; otherwise the changes since the requester's position.
-    bool wholeList = true;
+    bool isFullList = true;
     std::vector<TargetChange> targets;
 };
 
 /// \brief Returns this daemon's state for a requester.
-/// \param askersVersion Configuration version that the requester has.
-/// \param askersPosition Directory position of the requester's list of targets.
-[[nodiscard]] PeerState peerState(const RelayContext &context, std::int64_t askersVersion,
-                                  const DirectoryPosition &askersPosition, core::Time now);
+/// \param requesterVersion Configuration version that the requester has.
+/// \param requesterPosition Directory position of the requester's list of targets.
+[[nodiscard]] PeerState makePeerState(const RelayContext &context, std::int64_t requesterVersion,
+                                      const DirectoryPosition &requesterPosition, core::Time now);
 
 /// \brief Returns how recent this daemon's configuration and targets are.
 /// \param number Number of the question that this answers.
-/// \param regainedAt When the directory last recovered; in the infinite past if it never failed.
-[[nodiscard]] control::ProofAnswer proofAnswer(const RelayContext &context, std::uint64_t number, core::Time regainedAt,
-                                               core::Time now);
+/// \param recoveredAt When the directory last recovered; in the infinite past if it never failed.
+[[nodiscard]] control::FreshnessReply makeFreshnessReply(const RelayContext &context, std::uint64_t queryNumber,
+                                                         core::Time recoveredAt, core::Time now);
 
 [[nodiscard]] std::string writePeerState(const PeerState &state);
 
--- a/include/spurlug/relay/peer_link.h
+++ b/include/spurlug/relay/peer_transport.h
@@ -17,40 +17,40 @@
 {
 
 /// \brief Sends and receives datagrams between daemons: heartbeats and control-plane messages.
-class PeerLink
+class PeerTransport
 {
 public:
     /// \brief Handles a control-plane message from an address.
-    using TakeMessage = std::function<void(control::Message, const core::Address &)>;
+    using MessageHandler = std::function<void(control::Message, const core::Address &)>;
 
     /// \throws NetworkError if the address cannot be bound.
-    explicit PeerLink(RelayContext &context);
+    explicit PeerTransport(RelayContext &context);
 
     /// \brief Sets the handler for control-plane messages.
-    void onMessage(TakeMessage take);
+    void onMessage(MessageHandler handler);
 
     /// \brief Sets the callback for peers that are new or have restarted.
-    void onNewPeer(std::function<void(const core::Address &)> tell);
+    void onNewPeer(std::function<void(const core::Address &)> callback);
 
     /// \brief Sends heartbeats periodically.
     [[nodiscard]] net::Task<> sendHeartbeats();
     /// \brief Receives and dispatches datagrams.
-    [[nodiscard]] net::Task<> receive();
+    [[nodiscard]] net::Task<> receiveDatagrams();
 
     /// \brief Sends this daemon's state to the other daemons at once, as when it begins to stop.
-    void announce(core::Time now);
+    void announceState(core::Time now);
 
     /// \brief Sends a datagram. It may be lost; errors are ignored.
     void sendTo(const core::Address &peer, const std::string &datagram);
 
 private:
     void sendHeartbeat(const core::Address &to, const std::string &datagram);
-    void take(const std::string &datagram, const core::Address &from, core::Time now);
+    void handleDatagram(const std::string &datagram, const core::Address &from, core::Time now);
 
     RelayContext &m_context;
     net::asio::ip::udp::socket m_socket;
-    TakeMessage m_takeMessage;
-    FleetMembership m_fleet;
+    MessageHandler m_messageHandler;
+    FleetMembership m_membership;
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/placement.h
+++ b/include/spurlug/relay/placement.h
@@ -6,9 +6,9 @@
 
 #include "spurlug/config/route_table.h"
 #include "spurlug/core/time.h"
-#include "spurlug/relay/request_facts.h"
+#include "spurlug/relay/request_info.h"
 #include "spurlug/relay/target_set.h"
-#include "spurlug/settings/placement_rule.h"
+#include "spurlug/settings/placement_weights.h"
 
 #include <cstdint>
 #include <optional>
@@ -22,31 +22,32 @@
 {
     Outstanding load; ///< Known work of all daemons at the target.
     int slots = 1;
-    bool atHome = false; ///< Whether it is in the local failure domain.
+    bool isLocalDomain = false; ///< Whether it is in the local failure domain.
     bool mayAnswer = true; ///< Whether it may get the request itself.
     bool mayHelp = true; ///< Whether it may prefill a part for another target.
-    bool tightOnly = false; ///< Reserved for streams that tolerate only short gaps; kept free of long prompts.
+    bool reservedForShortGaps
+        = false; ///< Reserved for streams that tolerate only short gaps; kept free of long prompts.
 };
 
 /// \brief A prompt with the constraints on its placement.
 struct PromptRequest
 {
-    PromptFacts prompt;
-    core::Duration aim; ///< TTFT objective: time to the first event that counts as in time.
-    bool tight = true; ///< Whether its stream tolerates only short gaps between events.
+    PromptInfo prompt;
+    core::Duration ttftObjective; ///< TTFT objective: time to the first event that counts as in time.
+    bool shortGaps = true; ///< Whether its stream tolerates only short gaps between events.
     /// Whether a request that tolerates only short gaps has waited here long enough to queue for a slot.
     bool mayQueue = false;
     core::Duration waited = absl::ZeroDuration(); ///< Time since its arrival.
     /// Caller timeout: from its arrival until its caller is likely to disconnect.
-    core::Duration patience = absl::InfiniteDuration();
-    config::ShortestPauses pauses; ///< Shortest gaps that the streams at the engines tolerate.
+    core::Duration callerTimeout = absl::InfiniteDuration();
+    config::GapObjectives toleratedGaps; ///< Shortest gaps that the streams at the engines tolerate.
     core::Duration loadAge = absl::ZeroDuration(); ///< Age of the known loads of other daemons.
 };
 
-using settings::PlacementRule;
+using settings::PlacementWeights;
 
 /// \brief KV memory to be reserved at an engine.
-struct Holding
+struct MemoryReservation
 {
     std::size_t candidate = 0;
     std::int64_t tokens = 0;
@@ -58,34 +59,35 @@
     std::size_t target = 0;
     std::vector<std::size_t> helpers; ///< Engines that hold KV memory come first, then those that only prefill.
     /// At the first helpers, in order; for a prompt that exceeds the target's own KV memory.
-    std::vector<Holding> holdings;
-    core::Duration expected; ///< Expected time until the first event.
-    core::Duration partRead; ///< Expected prefill time of each engine's part.
+    std::vector<MemoryReservation> reservations;
+    core::Duration expectedTtft; ///< Expected time until the first event.
+    core::Duration partPrefillTime; ///< Expected prefill time of each engine's part.
 };
 
 /// \brief Duration of one batch pass of an engine without prefill, ms; 0 if no request generates there.
-[[nodiscard]] double passMs(const config::EngineCosts &costs, const Outstanding &load) noexcept;
+[[nodiscard]] double decodePassMs(const config::EngineCosts &costs, const Outstanding &load) noexcept;
 
 /// \brief Time to prefill one of `parts` equal parts of a prompt, ms. The attention cost of the whole prompt is divided
 /// evenly among the parts.
-[[nodiscard]] double partMs(const config::EngineCosts &costs, std::int64_t promptTokens, std::size_t parts) noexcept;
+[[nodiscard]] double prefillPartMs(const config::EngineCosts &costs, std::int64_t promptTokens,
+                                   std::size_t parts) noexcept;
 
 /// \brief Number of engines to reserve for streams that tolerate only short gaps, given their current number.
-[[nodiscard]] std::size_t enginesForTight(const std::vector<Outstanding> &loads, int slots,
-                                          const PlacementRule &rule) noexcept;
+[[nodiscard]] std::size_t enginesForShortGaps(const std::vector<Outstanding> &loads, int slots,
+                                              const PlacementWeights &weights) noexcept;
 
 /// \brief Pseudo-random number from 0 to 1 by candidate and request, to spread choices.
-[[nodiscard]] double choiceJitter(std::uint64_t pick, std::size_t candidate) noexcept;
+[[nodiscard]] double choiceJitter(std::uint64_t randomValue, std::size_t candidate) noexcept;
 
 /// \brief Chooses engines for a prompt. The random number makes daemons that see the same loads choose differently.
 /// \returns std::nullopt if no engine has a slot and KV memory for the prompt, or if the prompt should wait.
 [[nodiscard]] std::optional<Placement> placePrompt(const config::EngineCosts &costs, const PromptRequest &request,
-                                                   const std::vector<Candidate> &candidates, const PlacementRule &rule,
-                                                   std::uint64_t pick);
+                                                   const std::vector<Candidate> &candidates,
+                                                   const PlacementWeights &weights, std::uint64_t randomValue);
 
 /// \brief Chooses a target of a plain service.
 /// \returns std::nullopt if all targets are full.
-[[nodiscard]] std::optional<Placement> placePlain(const std::vector<Candidate> &candidates, const PlacementRule &rule,
-                                                  std::uint64_t pick);
+[[nodiscard]] std::optional<Placement> placePlain(const std::vector<Candidate> &candidates,
+                                                  const PlacementWeights &weights, std::uint64_t randomValue);
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/dialect.h
+++ b/include/spurlug/relay/protocol_codec.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "spurlug/net/http_message.h"
-#include "spurlug/relay/request_facts.h"
+#include "spurlug/relay/request_info.h"
 
 #include <concepts>
 #include <string>
@@ -15,14 +15,15 @@
 
 /// \brief Converts between HTTP messages and the relay's types. Stateless, and makes no decisions.
 template<typename D>
-concept Dialect = requires(const D &dialect, const net::Request &request, const AttemptFacts &attempt,
-                           const net::ResponseHead &head, const Refusal &refusal, const RequestFacts &facts,
-                           const std::string &id, std::int64_t tokens, core::Duration hold, const std::string &targetId)
+concept ProtocolCodec
+    = requires(const D &dialect, const net::Request &request, const AttemptInfo &attempt, const net::ResponseHead &head,
+               const Refusal &refusal, const RequestInfo &facts, const std::string &id, std::int64_t tokens,
+               core::Duration hold, const std::string &targetId)
 {
     // Parses a caller's request. Throws core::Refused if the request is malformed.
     {
         dialect.readRequest(request)
-        } -> std::same_as<RequestFacts>;
+        } -> std::same_as<RequestInfo>;
     // Builds the request that is sent to the target.
     {
         dialect.attemptRequest(request, attempt)
@@ -30,7 +31,7 @@
     // Reads the head of a target's answer.
     {
         dialect.readAnswer(head)
-        } -> std::same_as<AnswerFacts>;
+        } -> std::same_as<AnswerInfo>;
     // Builds the head that the caller gets from the head of a target's answer.
     {
         dialect.answerHead(head)
--- a/include/spurlug/relay/rate_limit.h
+++ b/include/spurlug/relay/rate_limit.h
@@ -19,7 +19,7 @@
     /// \brief Applies a notice. Notices older than the latest one are ignored.
     /// \param perSecond std::nullopt if there is no limit.
     /// \returns Whether the limit changed.
-    bool take(std::optional<double> perSecond, core::Time saidAt) noexcept;
+    bool update(std::optional<double> perSecond, core::Time announcedAt) noexcept;
 
     /// \brief Requests per second; std::nullopt if there is no limit.
     [[nodiscard]] std::optional<double> perSecond() const noexcept
@@ -32,14 +32,14 @@
     [[nodiscard]] FleetRate rate() const noexcept;
 
     /// \brief Time of the latest notice; InfinitePast if there was none.
-    [[nodiscard]] core::Time saidAt() const noexcept
+    [[nodiscard]] core::Time announcedAt() const noexcept
     {
-        return m_saidAt;
+        return m_announcedAt;
     }
 
 private:
     std::optional<double> m_perSecond;
-    core::Time m_saidAt = absl::InfinitePast();
+    core::Time m_announcedAt = absl::InfinitePast();
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/relay_daemon.h
+++ b/include/spurlug/relay/relay_daemon.h
@@ -13,7 +13,7 @@
 #include "spurlug/relay/context.h"
 #include "spurlug/relay/control_plane.h"
 #include "spurlug/relay/peer_state.h"
-#include "spurlug/relay/request_run.h"
+#include "spurlug/relay/request_handler.h"
 #include "spurlug/relay/simple_server.h"
 
 #include <boost/asio/signal_set.hpp>
@@ -26,7 +26,7 @@
 ///
 /// One thread runs everything, so that state shared between coroutines needs no lock; a relay daemon uses one hundredth
 /// of a core. A second thread writes the log.
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 class RelayDaemon
 {
 public:
@@ -44,22 +44,22 @@
 
 private:
     /// Minimum time of draining: the load balancer, which checks twice a second, must notice it.
-    static constexpr auto QuietBeforeEnd = absl::Milliseconds(2500);
-    static constexpr auto StopCheck = absl::Milliseconds(50); ///< Interval between checks while draining.
-    static constexpr auto EndBeforeKill = absl::Milliseconds(500); ///< Part of the grace period that is left unused.
+    static constexpr auto MinDrainTime = absl::Milliseconds(2500);
+    static constexpr auto DrainCheckInterval = absl::Milliseconds(50); ///< Interval between checks while draining.
+    static constexpr auto GraceMargin = absl::Milliseconds(500); ///< Part of the grace period that is left unused.
     /// Factor on the idle timeout: callers may use a connection until the timeout has passed.
-    static constexpr double IdleSlack = 1.25;
+    static constexpr double IdleTimeoutFactor = 1.25;
 
     void spawn(net::Task<> task);
     [[nodiscard]] net::Task<> serveCaller(net::asio::ip::tcp::socket socket);
     /// Answers a request that could not be read or parsed, and closes the connection.
-    [[nodiscard]] net::Task<> rejectUnread(core::Ref<net::ServerConnection> caller, net::ReadResult result);
+    [[nodiscard]] net::Task<> rejectUnreadable(core::Ref<net::ServerConnection> caller, net::ReadResult result);
     [[nodiscard]] net::ReadLimits readLimits();
     /// Handler of the readiness endpoint.
-    [[nodiscard]] net::Response readiness(const net::Request &request) const;
+    [[nodiscard]] net::Response answerReadiness(const net::Request &request) const;
     /// Handler of state queries from peers.
-    [[nodiscard]] net::Response control(const net::Request &request) const;
-    [[nodiscard]] net::Task<> awaitSignals();
+    [[nodiscard]] net::Response answerStateQuery(const net::Request &request) const;
+    [[nodiscard]] net::Task<> handleSignals();
     [[nodiscard]] net::Task<> drain();
     /// Reloads the settings when the content of the file changes.
     [[nodiscard]] net::Task<> watchSettings();
@@ -74,12 +74,12 @@
     RelayContext m_context;
     Protocol m_protocol;
     ControlPlane<Source> m_controlPlane;
-    net::Listener m_callers;
-    SimpleServer m_readiness;
-    SimpleServer m_control;
+    net::Listener m_callerListener;
+    SimpleServer m_readinessServer;
+    SimpleServer m_controlServer;
     SimpleServer m_metricsServer;
     net::asio::signal_set m_signals;
-    core::Duration m_longestIdle = absl::ZeroDuration(); ///< Longest idle timeout that has been configured so far.
+    core::Duration m_maxIdleTimeout = absl::ZeroDuration(); ///< Longest idle timeout that has been configured so far.
 };
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/relay_daemon_impl.h
+++ b/include/spurlug/relay/relay_daemon_impl.h
@@ -14,7 +14,7 @@
 namespace spurlug::relay
 {
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 RelayDaemon<Protocol, Source>::RelayDaemon(net::Loop &loop, settings::RelaySettings settings, std::string settingsPath,
                                            Protocol protocol, Source &source)
     : m_loop(loop)
@@ -23,9 +23,11 @@
     , m_context(loop, m_settings, m_metrics)
     , m_protocol(std::move(protocol))
     , m_controlPlane(m_context, source)
-    , m_callers(loop, m_settings.callerAddress)
-    , m_readiness(loop, m_settings.readinessAddress, [this](const net::Request &request) { return readiness(request); })
-    , m_control(loop, m_settings.controlAddress, [this](const net::Request &request) { return control(request); })
+    , m_callerListener(loop, m_settings.callerAddress)
+    , m_readinessServer(loop, m_settings.readinessAddress,
+                        [this](const net::Request &request) { return answerReadiness(request); })
+    , m_controlServer(loop, m_settings.controlAddress,
+                      [this](const net::Request &request) { return answerStateQuery(request); })
     , m_metricsServer(loop, m_settings.metricsAddress,
                       [this](const net::Request &) {
                           return textResponse(core::http_status::Ok, m_metrics.prometheusText(), "text/plain");
@@ -33,34 +35,34 @@
     , m_signals(loop, SIGTERM, SIGINT, SIGHUP)
 { }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 void RelayDaemon<Protocol, Source>::spawn(net::Task<> task)
 {
     net::asio::co_spawn(m_loop, std::move(task), net::asio::detached);
 }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 void RelayDaemon<Protocol, Source>::start()
 {
     core::log(core::LogLevel::Info, "started",
               {{"vm", m_settings.vm},
                {"failureDomain", m_settings.failureDomain},
-               {"callers", m_callers.address().text()},
-               {"control", m_control.address().text()},
+               {"callers", m_callerListener.address().text()},
+               {"control", m_controlServer.address().text()},
                {"store", m_settings.store.text()},
                {"retryRatio", m_settings.bounds.retryRatio},
                {"retrySlack", m_settings.bounds.retrySlack},
                {"retryWindowMs", core::toMs(m_settings.bounds.retryWindow)}});
-    spawn(m_callers.run([this](net::asio::ip::tcp::socket socket) { spawn(serveCaller(std::move(socket))); }));
-    m_readiness.start();
-    m_control.start();
+    spawn(m_callerListener.run([this](net::asio::ip::tcp::socket socket) { spawn(serveCaller(std::move(socket))); }));
+    m_readinessServer.start();
+    m_controlServer.start();
     m_metricsServer.start();
     m_controlPlane.start();
-    spawn(awaitSignals());
+    spawn(handleSignals());
     spawn(watchSettings());
 }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 void RelayDaemon<Protocol, Source>::stop()
 {
     if (!m_context.draining) {
@@ -68,44 +70,45 @@
     }
 }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 void RelayDaemon<Protocol, Source>::run()
 {
     start();
     m_loop.run();
-    core::log(core::LogLevel::Info, "stopped", {{"vm", m_settings.vm}, {"cutOff", m_context.inProgress}});
+    core::log(core::LogLevel::Info, "stopped", {{"vm", m_settings.vm}, {"cutOff", m_context.requestsInProgress}});
 }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 net::ReadLimits RelayDaemon<Protocol, Source>::readLimits()
 {
     net::ReadLimits limits;
     if (m_context.table) {
-        const auto &set = m_context.table->limits;
-        limits.headBytes = static_cast<std::size_t>(set.headBytes);
-        limits.bodyBytes = static_cast<std::size_t>(set.bodyBytes);
-        limits.headTimeout = set.headTimeout;
+        const auto &configured = m_context.table->limits;
+        limits.maxHeadBytes = static_cast<std::size_t>(configured.maxHeadBytes);
+        limits.maxBodyBytes = static_cast<std::size_t>(configured.maxBodyBytes);
+        limits.headTimeout = configured.headTimeout;
         // A caller may still rely on the idle timeout of an earlier configuration.
-        m_longestIdle = std::max(m_longestIdle, set.idleTimeout);
-        limits.idleTimeout = m_longestIdle * IdleSlack;
+        m_maxIdleTimeout = std::max(m_maxIdleTimeout, configured.idleTimeout);
+        limits.idleTimeout = m_maxIdleTimeout * IdleTimeoutFactor;
     }
     return limits;
 }
 
-template<Dialect Protocol, Directory Source>
-net::Task<> RelayDaemon<Protocol, Source>::rejectUnread(core::Ref<net::ServerConnection> caller, net::ReadResult result)
+template<ProtocolCodec Protocol, Directory Source>
+net::Task<> RelayDaemon<Protocol, Source>::rejectUnreadable(core::Ref<net::ServerConnection> caller,
+                                                            net::ReadResult result)
 {
     using namespace core::http_status;
     Refusal refusal;
     refusal.reason = core::Reason::MalformedRequest;
-    switch (result.end) {
-    case net::ReadEnd::Malformed:
+    switch (result.failure) {
+    case net::ReadFailure::Malformed:
         refusal.status = BadRequest;
         break;
-    case net::ReadEnd::HeadTooLarge:
-        refusal.status = HeadTooLarge;
+    case net::ReadFailure::HeadTooLarge:
+        refusal.status = HeaderFieldsTooLarge;
         break;
-    case net::ReadEnd::BodyTooLarge:
+    case net::ReadFailure::BodyTooLarge:
         refusal.status = PayloadTooLarge;
         refusal.reason = core::Reason::BodyTooLarge;
         break;
@@ -114,64 +117,64 @@
     }
     m_metrics.countRefusal(refusal.reason);
     core::log(core::LogLevel::Info, "request_unreadable",
-              {{"peer", caller->peer()}, {"end", core::nameOf(result.end)}, {"detail", result.detail}});
+              {{"peer", caller->peerAddress()}, {"end", core::nameOf(result.failure)}, {"detail", result.detail}});
     constexpr auto WriteTimeout = absl::Seconds(1);
     auto response = m_protocol.refusal(refusal, {});
     const bool written = co_await caller->write(std::move(response), false, core::now() + core::Duration(WriteTimeout));
     if (written) {
-        co_await caller->closeGently();
+        co_await caller->closeLingering();
     }
 }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 net::Task<> RelayDaemon<Protocol, Source>::serveCaller(net::asio::ip::tcp::socket socket)
 {
-    const auto caller = core::makeCounted<net::ServerConnection>(m_loop, std::move(socket));
+    const auto caller = core::makeRef<net::ServerConnection>(m_loop, std::move(socket));
     for (;;) {
         auto result = co_await caller->read(readLimits());
         if (!result.request) {
-            co_await rejectUnread(caller, std::move(result));
+            co_await rejectUnreadable(caller, std::move(result));
             co_return;
         }
-        RequestFacts facts;
-        bool understood = true;
+        RequestInfo facts;
+        bool parsed = true;
         try {
             facts = m_protocol.readRequest(*result.request);
         } catch (const core::Refused &refused) {
-            understood = false;
+            parsed = false;
             result.detail = refused.what();
         }
-        if (!understood) {
-            result.end = net::ReadEnd::Malformed;
-            co_await rejectUnread(caller, std::move(result));
+        if (!parsed) {
+            result.failure = net::ReadFailure::Malformed;
+            co_await rejectUnreadable(caller, std::move(result));
             co_return;
         }
-        RequestRun<Protocol> request(m_context, m_protocol, caller, std::move(*result.request), std::move(facts),
-                                     result.firstByteAt);
-        const bool goesOn = co_await request.run();
-        if (!goesOn) {
-            co_await caller->closeGently();
+        RequestHandler<Protocol> request(m_context, m_protocol, caller, std::move(*result.request), std::move(facts),
+                                         result.firstByteAt);
+        const bool keepOpen = co_await request.run();
+        if (!keepOpen) {
+            co_await caller->closeLingering();
             co_return;
         }
     }
 }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 bool RelayDaemon<Protocol, Source>::ready(core::Time now) const
 {
-    return m_context.table && !m_context.draining && m_context.keysAreFresh(now);
+    return m_context.table && !m_context.draining && m_context.canCheckKeys(now);
 }
 
-template<Dialect Protocol, Directory Source>
-net::Response RelayDaemon<Protocol, Source>::readiness(const net::Request &) const
+template<ProtocolCodec Protocol, Directory Source>
+net::Response RelayDaemon<Protocol, Source>::answerReadiness(const net::Request &) const
 {
     const bool isReady = ready(core::now());
-    return textResponse(isReady ? core::http_status::Ok : core::http_status::Unavailable,
+    return textResponse(isReady ? core::http_status::Ok : core::http_status::ServiceUnavailable,
                         isReady ? "ready\n" : "not ready\n", "text/plain");
 }
 
-template<Dialect Protocol, Directory Source>
-net::Response RelayDaemon<Protocol, Source>::control(const net::Request &request) const
+template<ProtocolCodec Protocol, Directory Source>
+net::Response RelayDaemon<Protocol, Source>::answerStateQuery(const net::Request &request) const
 {
     constexpr std::string_view StatePath = "/state?";
     const std::string_view target = request.target;
@@ -179,18 +182,18 @@
         return textResponse(core::http_status::NotFound, "not found\n", "text/plain");
     }
     const auto query = target.substr(StatePath.size());
-    const auto version = queryNumber(query, "version");
-    const auto era = queryNumber(query, "era");
-    const auto revision = queryNumber(query, "targets");
+    const auto version = queryInteger(query, "version");
+    const auto era = queryInteger(query, "era");
+    const auto revision = queryInteger(query, "targets");
     if (!version || !era || !revision) {
         return textResponse(core::http_status::BadRequest, "version, era or targets is no number\n", "text/plain");
     }
-    const auto state = peerState(m_context, *version, {*era, *revision}, core::now());
+    const auto state = makePeerState(m_context, *version, {*era, *revision}, core::now());
     return textResponse(core::http_status::Ok, writePeerState(state), "application/x-protobuf");
 }
 
-template<Dialect Protocol, Directory Source>
-net::Task<> RelayDaemon<Protocol, Source>::awaitSignals()
+template<ProtocolCodec Protocol, Directory Source>
+net::Task<> RelayDaemon<Protocol, Source>::handleSignals()
 {
     for (;;) {
         auto [error, signal] = co_await m_signals.async_wait(net::Awaited);
@@ -205,56 +208,56 @@
     }
 }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 net::Task<> RelayDaemon<Protocol, Source>::drain()
 {
-    const auto begin = core::now();
+    const auto drainStart = core::now();
     m_context.draining = true;
-    m_context.drainingSince = begin;
-    core::log(core::LogLevel::Info, "stopping", {{"vm", m_settings.vm}, {"inProgress", m_context.inProgress}});
-    m_controlPlane.announceStop(begin);
-    const auto end = begin + m_settings.bounds.grace - EndBeforeKill;
+    m_context.drainingSince = drainStart;
+    core::log(core::LogLevel::Info, "stopping", {{"vm", m_settings.vm}, {"inProgress", m_context.requestsInProgress}});
+    m_controlPlane.announceStop(drainStart);
+    const auto drainDeadline = drainStart + m_settings.bounds.grace - GraceMargin;
     for (;;) {
-        co_await net::sleepFor(StopCheck);
+        co_await net::sleepFor(DrainCheckInterval);
         const auto now = core::now();
-        const bool idle = m_context.inProgress == 0 && now - begin >= QuietBeforeEnd;
-        if (idle || now >= end) {
+        const bool idle = m_context.requestsInProgress == 0 && now - drainStart >= MinDrainTime;
+        if (idle || now >= drainDeadline) {
             break;
         }
     }
     m_loop.stop();
 }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 net::Task<> RelayDaemon<Protocol, Source>::watchSettings()
 {
-    constexpr auto Pause = absl::Seconds(2);
+    constexpr auto CheckInterval = absl::Seconds(2);
     const auto read = [this] {
         std::ifstream file(m_settingsPath);
         std::stringstream text;
         text << file.rdbuf();
         return text.str();
     };
-    auto known = read();
+    auto lastText = read();
     for (;;) {
-        co_await net::sleepFor(Pause);
+        co_await net::sleepFor(CheckInterval);
         auto text = read();
-        if (text != known && !text.empty()) {
-            known = std::move(text);
+        if (text != lastText && !text.empty()) {
+            lastText = std::move(text);
             reload();
         }
     }
 }
 
-template<Dialect Protocol, Directory Source>
+template<ProtocolCodec Protocol, Directory Source>
 void RelayDaemon<Protocol, Source>::reload()
 {
     try {
-        auto fresh = settings::loadRelaySettings(m_settingsPath);
+        auto loaded = settings::loadRelaySettings(m_settingsPath);
         // Addresses and bounds stay fixed until the process restarts; only the seeds and the log level are updated.
-        m_settings.seeds = std::move(fresh.seeds);
-        m_settings.logLevel = fresh.logLevel;
-        core::setLogLevel(fresh.logLevel);
+        m_settings.seeds = std::move(loaded.seeds);
+        m_settings.logLevel = loaded.logLevel;
+        core::setLogLevel(loaded.logLevel);
         core::log(core::LogLevel::Info, "settings_reloaded", {{"seeds", m_settings.seeds.size()}});
     } catch (const core::InvalidDocument &error) {
         core::log(core::LogLevel::Error, "settings_refused", {{"error", error.what()}});
--- a/include/spurlug/relay/request_run.h
+++ b/include/spurlug/relay/request_handler.h
@@ -10,9 +10,9 @@
 #include "spurlug/core/text.h"
 #include "spurlug/net/server_connection.h"
 #include "spurlug/relay/attempt.h"
-#include "spurlug/relay/dialect.h"
 #include "spurlug/relay/evacuations.h"
 #include "spurlug/relay/event_splitter.h"
+#include "spurlug/relay/protocol_codec.h"
 #include "spurlug/relay/request_progress.h"
 #include "spurlug/relay/reservation.h"
 #include "spurlug/relay/target_notice.h"
@@ -37,12 +37,12 @@
 } // namespace detail
 
 /// \brief Relays one request and its answer. The coroutine `run` does all I/O; RequestProgress makes all decisions.
-template<Dialect D>
-class RequestRun
+template<ProtocolCodec D>
+class RequestHandler
 {
 public:
-    RequestRun(RelayContext &context, const D &dialect, core::Ref<net::ServerConnection> caller, net::Request request,
-               RequestFacts facts, core::Time arrivedAt);
+    RequestHandler(RelayContext &context, const D &codec, core::Ref<net::ServerConnection> caller, net::Request request,
+                   RequestInfo facts, core::Time arrivedAt);
 
     /// \brief Relays the request and answers the caller.
     /// \returns Whether the caller's connection can be used for another request.
@@ -50,7 +50,7 @@
 
 private:
     /// What to do after an attempt or one of its events.
-    enum class Next
+    enum class NextStep
     {
         Done, ///< Nothing more: the caller has its answer, or disconnected.
         SendAgain, ///< Start another attempt.
@@ -63,97 +63,97 @@
     [[nodiscard]] net::Task<std::optional<Refusal>> authorise();
     /// Makes attempts until the caller has an answer or the request fails.
     /// \returns False if the caller's connection cannot be used any more.
-    [[nodiscard]] net::Task<bool> pursue();
-    [[nodiscard]] net::Task<Next> attempt(const ChosenTargets &chosen);
-    /// \returns The targets for an attempt; nothing if the request fails, for the reason in `m_failure`, or if the
-    /// caller disconnected.
-    [[nodiscard]] net::Task<std::optional<ChosenTargets>> chooseOrWait();
+    [[nodiscard]] net::Task<bool> runAttempts();
+    [[nodiscard]] net::Task<NextStep> runAttempt(const ChosenTargets &chosen);
+    /// \returns The targets for an attempt; nothing if the request fails, for the reason in `m_failureReason`, or if
+    /// the caller disconnected.
+    [[nodiscard]] net::Task<std::optional<ChosenTargets>> awaitPlacement();
     /// Reserves KV memory at the helpers that need it.
     /// \returns Whether all of them granted it.
-    [[nodiscard]] net::Task<bool> reserve(const ChosenTargets &chosen);
+    [[nodiscard]] net::Task<bool> reserveMemory(const ChosenTargets &chosen);
     /// Releases all reservations.
-    void releaseAll();
+    void releaseReservations();
     /// Whether the incarnation of an engine that holds memory for the prompt has ended.
-    [[nodiscard]] bool holderEnded(const ChosenTargets &chosen) const;
+    [[nodiscard]] bool memoryHelperEnded(const ChosenTargets &chosen) const;
     /// Has an event posted to the request when the incarnation of an engine of the attempt ends.
-    void watchLives(const ChosenTargets &chosen);
+    void watchIncarnations(const ChosenTargets &chosen);
     /// Starts an attempt.
-    void send(const ChosenTargets &chosen);
+    void startAttempt(const ChosenTargets &chosen);
     /// Handles the events of the current attempt until it ends.
-    [[nodiscard]] net::Task<Next> follow(const ChosenTargets &chosen);
+    [[nodiscard]] net::Task<NextStep> awaitAnswer(const ChosenTargets &chosen);
     /// State of an attempt whose target sends nothing.
-    struct Silence
+    struct SilenceState
     {
-        core::Time heardAt; ///< When the last bytes arrived, or when the attempt started.
-        bool answering = false; ///< Whether bytes of the answer's body have arrived.
-        bool patient = false; ///< No other target can be tried, so the relay waits until the deadline.
-        int refusedConnections = 0; ///< Number of consecutive checks that found the target unreachable.
+        core::Time lastActivityAt; ///< When the last bytes arrived, or when the attempt started.
+        bool bodyStarted = false; ///< Whether bytes of the answer's body have arrived.
+        bool waitsForDeadline = false; ///< No other target can be tried, so the relay waits until the deadline.
+        int failedChecks = 0; ///< Number of consecutive checks that found the target unreachable.
     };
     /// Aborts a silent attempt if its target is dead or has been silent for too long.
     /// \returns What to do next if the attempt was aborted.
-    [[nodiscard]] net::Task<std::optional<Next>> leaveIfDead(const ChosenTargets &chosen, Silence &silence);
+    [[nodiscard]] net::Task<std::optional<NextStep>> abortIfDead(const ChosenTargets &chosen, SilenceState &silence);
     /// Handles a silent attempt that cannot be retried. If the target is dead, the attempt is aborted at once, so that
     /// other engines do not keep memory reserved for it, unless a stream without reservations has begun. Otherwise the
     /// relay keeps waiting.
     /// \returns What to do next if the attempt was aborted.
-    [[nodiscard]] std::optional<Next> endOrWait(Silence &silence, core::Time now);
+    [[nodiscard]] std::optional<NextStep> abortOrWait(SilenceState &silence, core::Time now);
     /// Aborts the attempt if it depends on a target whose incarnation ended.
     /// \param given Set to whether the attempt was aborted.
-    [[nodiscard]] Next leaveLife(const Target &ended, bool &given);
+    [[nodiscard]] NextStep handleIncarnationEnd(const Target &ended, bool &aborted);
     /// Whether a target still accepts connections. An engine is also asked whether it is the expected target; if
     /// another one now uses the address, the incarnation of the expected target has ended.
-    [[nodiscard]] net::Task<bool> reaches(core::Ref<Target> target);
+    [[nodiscard]] net::Task<bool> checkReachable(core::Ref<Target> target);
     /// Checks whether the process of a target of the current attempt ended. A broken connection does not show that,
     /// a refused one does. The check delays the request by one round trip.
-    [[nodiscard]] net::Task<> checkForEnd(core::Ref<Target> target);
+    [[nodiscard]] net::Task<> checkForCrash(core::Ref<Target> target);
     /// Handles one event. The `take` functions set \p ended if the attempt is over; only then is the result valid.
-    [[nodiscard]] net::Task<Next> take(RequestEvent event, const ChosenTargets &chosen, bool &ended);
-    [[nodiscard]] net::Task<Next> takeHead(net::ResponseHead head, bool &ended);
-    [[nodiscard]] net::Task<Next> takeBytes(const std::string &bytes, bool &ended);
-    [[nodiscard]] net::Task<Next> takeEnd(const AttemptEnded &end);
+    [[nodiscard]] net::Task<NextStep> handleEvent(RequestEvent event, const ChosenTargets &chosen, bool &ended);
+    [[nodiscard]] net::Task<NextStep> handleHead(net::ResponseHead head, bool &ended);
+    [[nodiscard]] net::Task<NextStep> handleBytes(const std::string &bytes, bool &ended);
+    [[nodiscard]] net::Task<NextStep> handleEnd(const AttemptEnded &end);
     /// Passes a complete non-stream answer on to the caller.
-    [[nodiscard]] net::Task<Next> passWhole();
+    [[nodiscard]] net::Task<NextStep> forwardAnswer();
     /// Passes the head of a stream on to the caller.
     /// \returns Whether it was written.
-    [[nodiscard]] net::Task<bool> passHead();
+    [[nodiscard]] net::Task<bool> forwardHead();
     /// Passes a stream event on to the caller, after the head if that is not written yet.
     /// \returns Whether it was written.
-    [[nodiscard]] net::Task<bool> passEvent(StreamEvent event);
+    [[nodiscard]] net::Task<bool> forwardEvent(StreamEvent event);
     /// Ends a failed attempt and decides whether to retry.
-    [[nodiscard]] Next afterFailure(core::Outcome outcome, core::Reason reason, std::optional<TargetFault> fault,
-                                    const std::string &detail);
+    [[nodiscard]] NextStep handleFailure(core::Outcome outcome, core::Reason reason, std::optional<TargetFault> fault,
+                                         const std::string &detail);
     /// Writes an error answer of the relay.
     /// \returns Whether the caller's connection can be used for another request.
-    [[nodiscard]] net::Task<bool> refuse(Refusal refusal);
+    [[nodiscard]] net::Task<bool> sendRefusal(Refusal refusal);
     /// Whether the request may be processed again after what the caller has already received.
-    [[nodiscard]] bool mayRepeat() const;
+    [[nodiscard]] bool isRepeatable() const;
     /// Whether the caller's connection stays open after the answer.
     [[nodiscard]] bool keepsAlive() const;
 
     RelayContext &m_context;
-    const D &m_dialect;
+    const D &m_codec;
     core::Ref<net::ServerConnection> m_caller;
     const net::Request m_request;
     RequestProgress m_progress;
     core::Ref<RequestInbox> m_inbox;
     core::Ref<Attempt> m_attempt;
     std::vector<core::Ref<Reservation>> m_reservations;
-    std::vector<std::unique_ptr<LifeWatch>> m_watches; ///< For the engines of the current attempt.
+    std::vector<std::unique_ptr<IncarnationWatch>> m_incarnationWatches; ///< For the engines of the current attempt.
     /// The scheduler's grant for the chosen targets; nothing if this daemon chose them.
-    std::optional<control::PlacementAnswer> m_grant;
-    core::Duration m_reservePause = absl::Milliseconds(10); ///< Wait after a refused reservation; doubles each time.
-    core::Reason m_failure = core::Reason::None; ///< Why the last attempt failed.
+    std::optional<control::PlacementReply> m_grant;
+    core::Duration m_reserveDelay = absl::Milliseconds(10); ///< Wait after a refused reservation; doubles each time.
+    core::Reason m_failureReason = core::Reason::None; ///< Why the last attempt failed.
     bool m_callerGone = false;
     net::ResponseHead m_head; ///< Head of the current attempt's answer.
     bool m_isStream = false; ///< Whether the current attempt is answered with an event stream.
     std::string m_body; ///< Body of a non-stream answer, as received so far.
     EventSplitter m_events; ///< Stream events of the current attempt.
-    bool m_headPassed = false; ///< Whether the head of a stream was sent to the caller.
-    std::optional<std::int64_t> m_lastEvent; ///< ID of the last stream event that the caller has.
+    bool m_headForwarded = false; ///< Whether the head of a stream was sent to the caller.
+    std::optional<std::int64_t> m_lastEventId; ///< ID of the last stream event that the caller has.
 };
 
 } // namespace spurlug::relay
 
-#include "spurlug/relay/request_run_answer_impl.h"
-#include "spurlug/relay/request_run_follow_impl.h"
-#include "spurlug/relay/request_run_impl.h"
+#include "spurlug/relay/request_handler_answer_impl.h"
+#include "spurlug/relay/request_handler_follow_impl.h"
+#include "spurlug/relay/request_handler_impl.h"
--- /dev/null
+++ b/include/spurlug/relay/request_handler_answer_impl.h
@@ -0,0 +1,199 @@
+//----------------------------------------------------------------------------------------------------------------------
+// spurlug: transfers the bytes of one relayed request: answers of targets
+// SPDX-License-Identifier: MIT
+//----------------------------------------------------------------------------------------------------------------------
+#pragma once
+
+#include "spurlug/relay/request_handler.h" // Lets tools parse this file on its own.
+
+namespace spurlug::relay
+{
+
+template<ProtocolCodec D>
+net::Task<typename RequestHandler<D>::NextStep> RequestHandler<D>::handleEvent(RequestEvent event,
+                                                                               const ChosenTargets &, bool &ended)
+{
+    if (std::holds_alternative<CallerDisconnected>(event)) {
+        m_callerGone = true;
+        m_attempt->abort();
+        m_progress.endAttempt(core::Outcome::MayHaveRun, core::Reason::CallerDisconnected, std::nullopt,
+                              "the caller closed its connection", core::now());
+        ended = true;
+        co_return NextStep::Done;
+    }
+    const auto current = m_progress.attempts();
+    if (auto *head = std::get_if<HeadArrived>(&event); head != nullptr && head->attempt == current) {
+        co_return co_await handleHead(std::move(head->head), ended);
+    }
+    if (auto *bytes = std::get_if<BytesArrived>(&event); bytes != nullptr && bytes->attempt == current) {
+        co_return co_await handleBytes(bytes->bytes, ended);
+    }
+    if (auto *end = std::get_if<AttemptEnded>(&event); end != nullptr && end->attempt == current) {
+        ended = true;
+        co_return co_await handleEnd(*end);
+    }
+    if (const auto *incarnationEnd = std::get_if<IncarnationEnded>(&event);
+        incarnationEnd != nullptr && incarnationEnd->attempt == current) {
+        co_return handleIncarnationEnd(*incarnationEnd->target, ended);
+    }
+    co_return NextStep::Done; // The event belongs to an earlier, aborted attempt.
+}
+
+template<ProtocolCodec D>
+net::Task<typename RequestHandler<D>::NextStep> RequestHandler<D>::handleHead(net::ResponseHead head, bool &ended)
+{
+    const auto answer = m_codec.readAnswer(head);
+    const auto result = evaluateAnswer(answer, m_progress.facts().id);
+    const auto now = core::now();
+    const bool blamesHelper = answer.failedHelper && *answer.failedHelper != m_progress.target()->entry.address;
+    const bool isMisdirected = answer.requestId == m_progress.facts().id && answer.wrongTarget && !blamesHelper;
+    if (isMisdirected || isOwnAnswer(answer, m_progress.facts().id)) {
+        applyTargetNotice(m_context, *m_progress.target(), answer, m_progress.facts().id, now);
+        noteLimitLifted(*m_progress.target(), answer, m_progress.sentAt(), now);
+    }
+    if (answer.failedHelper) {
+        if (const auto helper = m_progress.helperAt(*answer.failedHelper)) {
+            m_progress.recordHelpFailure(helper, now);
+        }
+    }
+    const auto detail = core::cat("status ", answer.status);
+    if (result.outcome != core::Outcome::Completed) {
+        m_attempt->abort();
+        ended = true;
+        co_return handleFailure(result.outcome, result.reason, result.fault, detail);
+    }
+    if (result.fault && isRepeatable()) {
+        // The target itself failed, so another one may succeed. If none can be tried, this answer is passed on.
+        if (m_progress.allowRetry(true, core::Reason::TargetFailed, now)) {
+            m_attempt->abort();
+            ended = true;
+            m_failureReason = core::Reason::TargetFailed;
+            m_progress.endAttempt(core::Outcome::MayHaveRun, m_failureReason, result.fault, detail, now);
+            co_return NextStep::SendAgain;
+        }
+    }
+    m_isStream = answer.isEventStream && !result.fault;
+    m_head = std::move(head);
+    if (m_headForwarded && !m_isStream) {
+        m_attempt->abort(); // The caller already has the head of a stream, so no other answer can follow.
+        ended = true;
+        co_return handleFailure(core::Outcome::MayHaveRun, core::Reason::TargetFailed, TargetFault::MalformedResponse,
+                                detail);
+    }
+    co_return NextStep::Done;
+}
+
+template<ProtocolCodec D>
+net::Task<typename RequestHandler<D>::NextStep> RequestHandler<D>::handleBytes(const std::string &bytes, bool &ended)
+{
+    if (!m_isStream) {
+        m_body += bytes;
+        co_return NextStep::Done;
+    }
+    m_events.append(bytes);
+    for (auto event = m_events.next(); event; event = m_events.next()) {
+        const bool inOrder = !event->id || !m_lastEventId || *event->id == *m_lastEventId + 1;
+        if (!inOrder) {
+            m_attempt->abort();
+            ended = true;
+            co_return handleFailure(core::Outcome::MayHaveRun, core::Reason::StreamInterrupted,
+                                    TargetFault::MalformedResponse,
+                                    core::cat("stream event ID ", *event->id, " does not follow ", *m_lastEventId));
+        }
+        m_progress.recordAnswer(core::now());
+        const bool forwarded = co_await forwardEvent(std::move(*event));
+        if (!forwarded) {
+            m_callerGone = true;
+            m_attempt->abort();
+            m_progress.endAttempt(core::Outcome::MayHaveRun, core::Reason::CallerDisconnected, std::nullopt,
+                                  "writing the answer to the caller failed", core::now());
+            ended = true;
+            co_return NextStep::Done;
+        }
+    }
+    co_return NextStep::Done;
+}
+
+template<ProtocolCodec D>
+net::Task<bool> RequestHandler<D>::forwardHead()
+{
+    m_headForwarded = true;
+    auto head = m_codec.answerHead(m_head);
+    const bool written = co_await m_caller->writeHead(std::move(head), keepsAlive(), m_progress.deadline());
+    co_return written;
+}
+
+template<ProtocolCodec D>
+net::Task<bool> RequestHandler<D>::forwardEvent(StreamEvent event)
+{
+    if (!m_headForwarded) {
+        const bool headWritten = co_await forwardHead();
+        if (!headWritten) {
+            co_return false;
+        }
+    }
+    if (event.id) {
+        m_lastEventId = event.id;
+    }
+    m_context.metrics.count(metrics::Counter::TokensRelayed);
+    co_return co_await m_caller->writeChunk(std::move(event.bytes), m_progress.deadline());
+}
+
+template<ProtocolCodec D>
+net::Task<typename RequestHandler<D>::NextStep> RequestHandler<D>::handleEnd(const AttemptEnded &end)
+{
+    if (end.stage == AttemptStage::NotConnected) {
+        co_return handleFailure(core::Outcome::NotRun, core::Reason::ConnectFailed, TargetFault::Unreachable,
+                                end.detail);
+    }
+    if (end.stage == AttemptStage::Cancelled) {
+        const auto now = core::now();
+        m_failureReason = reasonToAvoid(*m_progress.target(), now).value_or(core::Reason::TargetLeaving);
+        m_progress.cancelAttempt(m_failureReason, now);
+        co_return NextStep::SendAgain; // Nothing was sent, so this does not count as a retry.
+    }
+    if (end.stage == AttemptStage::Sent) {
+        co_await checkForCrash(m_progress.target());
+        const auto reason = m_headForwarded ? core::Reason::StreamInterrupted : core::Reason::TargetFailed;
+        co_return handleFailure(core::Outcome::MayHaveRun, reason, TargetFault::ConnectionLost, end.detail);
+    }
+    if (!m_isStream) {
+        co_return co_await forwardAnswer();
+    }
+    if (m_events.hasPartialEvent()) {
+        co_await checkForCrash(m_progress.target());
+        co_return handleFailure(core::Outcome::MayHaveRun, core::Reason::StreamInterrupted, TargetFault::ConnectionLost,
+                                "the stream ended inside an event");
+    }
+    const auto now = core::now();
+    m_progress.recordAnswer(now);
+    m_progress.endAttempt(core::Outcome::Completed, core::Reason::None, std::nullopt, "", now);
+    bool written = true;
+    if (!m_headForwarded) {
+        written = co_await forwardHead();
+    }
+    if (written) {
+        written = co_await m_caller->writeEnd(m_progress.deadline());
+    }
+    m_callerGone = !written;
+    m_progress.finish(core::Outcome::Completed, core::Reason::None, m_head.status, core::now());
+    co_return NextStep::Done;
+}
+
+template<ProtocolCodec D>
+net::Task<typename RequestHandler<D>::NextStep> RequestHandler<D>::forwardAnswer()
+{
+    const auto now = core::now();
+    const bool failed = m_head.status >= core::http_status::FirstServerError;
+    m_progress.recordAnswer(now);
+    m_progress.endAttempt(core::Outcome::Completed, failed ? core::Reason::TargetFailed : core::Reason::None,
+                          failed ? std::optional(TargetFault::ErrorResponse) : std::nullopt, "", now);
+    net::Response response{m_codec.answerHead(m_head), std::move(m_body)};
+    const bool written = co_await m_caller->write(std::move(response), keepsAlive(), m_progress.deadline());
+    m_callerGone = !written;
+    m_progress.finish(core::Outcome::Completed, failed ? core::Reason::TargetFailed : core::Reason::None, m_head.status,
+                      core::now());
+    co_return NextStep::Done;
+}
+
+} // namespace spurlug::relay
--- a/include/spurlug/relay/request_facts.h
+++ b/include/spurlug/relay/request_info.h
@@ -18,40 +18,40 @@
 {
 
 /// \brief Prompt size of a request to a model engine, in tokens.
-struct PromptFacts
+struct PromptInfo
 {
     std::int64_t promptTokens = 0;
-    std::int64_t mostAnswerTokens = 0; ///< Maximum number of tokens to generate.
+    std::int64_t maxAnswerTokens = 0; ///< Maximum number of tokens to generate.
 
     /// \brief Maximum KV memory that the request can need, in tokens.
-    [[nodiscard]] std::int64_t memoryTokens() const noexcept
+    [[nodiscard]] std::int64_t maxMemoryTokens() const noexcept
     {
-        return promptTokens + mostAnswerTokens;
+        return promptTokens + maxAnswerTokens;
     }
 };
 
 /// \brief The properties of a caller's request that relay decisions depend on.
-struct RequestFacts
+struct RequestInfo
 {
     std::string id; ///< Request ID that the caller sets; each of its retries has another one.
     std::string host; ///< Host name without the port.
     std::string path; ///< Path without the query.
     std::optional<std::string> key; ///< API key of the caller, if it sent one.
-    core::Duration patience = absl::InfiniteDuration(); ///< How long the caller waits after its request arrived.
-    std::optional<PromptFacts> prompt; ///< Set for requests that carry a prompt.
+    core::Duration requestTimeout = absl::InfiniteDuration(); ///< How long the caller waits after its request arrived.
+    std::optional<PromptInfo> prompt; ///< Set for requests that carry a prompt.
     std::optional<std::int64_t> resumeAfter; ///< ID of the last stream event that the caller already has.
-    core::Digest content; ///< Digest of the method, the path with its query, and the body.
+    core::Digest contentDigest; ///< Digest of the method, the path with its query, and the body.
 };
 
 /// \brief An engine that processes a part of a prompt for another engine.
 struct HelperRef
 {
     core::Address address;
-    std::string reservation; ///< ID of the KV memory reservation there; empty if there is none.
+    std::string reservationId; ///< ID of the KV memory reservation there; empty if there is none.
 };
 
 /// \brief The data that the relay adds to the caller's request for one attempt.
-struct AttemptFacts
+struct AttemptInfo
 {
     std::string targetId;
     core::Address target;
@@ -63,7 +63,7 @@
 };
 
 /// \brief The information in the head of a target's answer.
-struct AnswerFacts
+struct AnswerInfo
 {
     std::string requestId; ///< ID of the request that is answered.
     int status = 0; ///< HTTP status.
@@ -71,15 +71,15 @@
     bool wrongTarget = false; ///< The address now belongs to another target.
     bool hasSignature = false; ///< The answer has the target's signature.
     bool isEventStream = false;
-    bool encoded = false; ///< The body has a content encoding, which the caller did not ask for.
-    std::optional<core::Address> faultAt; ///< Address of the helper that caused the failure.
-    bool leaving = false; ///< The target is about to shut down.
-    std::optional<core::Duration> cold; ///< How much longer the target is slow, if stated.
-    bool coldUnreadable = false; ///< `cold` was sent but is not a valid duration.
+    bool hasContentEncoding = false; ///< The body has a content encoding, which the caller did not ask for.
+    std::optional<core::Address> failedHelper; ///< Address of the helper that caused the failure.
+    bool draining = false; ///< The target is about to shut down.
+    std::optional<core::Duration> remainingWarmUp; ///< How much longer the target is slow, if stated.
+    bool warmUpInvalid = false; ///< `cold` was sent but is not a valid duration.
     std::optional<core::Duration> retryAfter; ///< How long this daemon must send the target nothing, if stated.
-    bool retryAfterUnreadable = false; ///< `retryAfter` was sent but is not a valid duration or date.
+    bool retryAfterInvalid = false; ///< `retryAfter` was sent but is not a valid duration or date.
     std::optional<double> rateLimit; ///< Requests per second that the target accepts from all daemons, if stated.
-    bool rateLimitUnreadable = false; ///< `rateLimit` was sent but is not a valid rate.
+    bool rateLimitInvalid = false; ///< `rateLimit` was sent but is not a valid rate.
 };
 
 /// \brief An error answer that the relay itself gives to a request.
--- a/include/spurlug/relay/request_progress.h
+++ b/include/spurlug/relay/request_progress.h
@@ -4,10 +4,10 @@
 //----------------------------------------------------------------------------------------------------------------------
 #pragma once
 
+#include "spurlug/relay/answer_result.h"
 #include "spurlug/relay/context.h"
-#include "spurlug/relay/request_facts.h"
+#include "spurlug/relay/request_info.h"
 #include "spurlug/relay/target_choice.h"
-#include "spurlug/relay/verdict.h"
 
 #include <memory>
 #include <optional>
@@ -20,11 +20,11 @@
 
 /// \brief Makes all decisions about one request from its arrival to its end, and logs and counts them.
 ///
-/// Does no I/O: the coroutine in RequestRun that transfers the bytes asks it what to do and reports what happened.
+/// Does no I/O: the coroutine in RequestHandler that transfers the bytes asks it what to do and reports what happened.
 class RequestProgress
 {
 public:
-    RequestProgress(RelayContext &context, RequestFacts facts, core::Time arrivedAt);
+    RequestProgress(RelayContext &context, RequestInfo facts, core::Time arrivedAt);
     ~RequestProgress();
     RequestProgress(const RequestProgress &) = delete;
     RequestProgress &operator=(const RequestProgress &) = delete;
@@ -48,11 +48,11 @@
 
     /// \brief Starts an attempt at these targets; the request counts towards their load from now on.
     /// \param scheduler Name of the VM whose scheduler chose them; empty if this daemon chose them.
-    void begin(const ChosenTargets &chosen, std::string_view scheduler, core::Time now);
+    void beginAttempt(const ChosenTargets &chosen, std::string_view scheduler, core::Time now);
     /// \brief Records that the target sent bytes or accepted a connection.
-    void heard(core::Time now) noexcept;
+    void recordActivity(core::Time now) noexcept;
     /// \brief Records that a stream event or the complete answer arrived.
-    void answered(core::Time now);
+    void recordAnswer(core::Time now);
     /// \brief Records that an attempt ended.
     /// \param fault What the target did wrong, if anything.
     /// \param detail Description for the log.
@@ -60,22 +60,22 @@
                     const std::string &detail, core::Time now);
     /// \brief Records that the attempt ended before anything was written.
     /// \param reason Why nothing may be sent to the target.
-    void withhold(core::Reason reason, core::Time now);
+    void cancelAttempt(core::Reason reason, core::Time now);
     /// \brief Records that an engine did not help the target. The target reports a helper that is shutting down, full
     /// or unreachable at once: that helper is not asked for help for a while, but it may still be able to answer
     /// requests itself. A helper for which the target waited in vain is ejected.
-    void helpRefused(const core::Ref<Target> &helper, core::Time now);
+    void recordHelpFailure(const core::Ref<Target> &helper, core::Time now);
     /// \brief Records that an engine refused to reserve memory.
-    void memoryRefused(const core::Ref<Target> &helper, core::Time now);
+    void recordReservationRefusal(const core::Ref<Target> &helper, core::Time now);
 
     /// \brief Records that the process of a target of the current attempt ended: the connection broke or became
     /// silent, and a new connection was refused.
-    void targetEnded(const core::Ref<Target> &target, core::Time now);
+    void recordTargetCrash(const core::Ref<Target> &target, core::Time now);
 
     /// \brief Whether to send the request again; charges the retry to the fleet-wide retry budget.
-    /// \param mayRepeat Whether the request may be processed twice.
+    /// \param isRepeatable Whether the request may be processed twice.
     /// \param cause Why the last attempt failed.
-    [[nodiscard]] bool takeResend(bool mayRepeat, core::Reason cause, core::Time now);
+    [[nodiscard]] bool allowRetry(bool isRepeatable, core::Reason cause, core::Time now);
 
     /// \brief Records the end of the request; later calls do nothing.
     /// \param status HTTP status that the caller got; 0 if its connection ended instead.
@@ -85,7 +85,7 @@
     /// \name Queries
     /// @{
 
-    [[nodiscard]] const RequestFacts &facts() const noexcept;
+    [[nodiscard]] const RequestInfo &facts() const noexcept;
     /// \brief Identifies the work of the request independently of its ID and of the daemon: a digest of organisation,
     /// host and content. Set once the request is authorised.
     [[nodiscard]] const core::Digest &digest() const noexcept;
@@ -96,41 +96,43 @@
     [[nodiscard]] core::Time deadline() const noexcept;
     [[nodiscard]] int attempts() const noexcept;
     /// \brief Whether any ended attempt may have been processed by its target.
-    [[nodiscard]] bool ranSomewhere() const noexcept;
+    [[nodiscard]] bool mayHaveRun() const noexcept;
     /// \brief Priority to send to engines: from the operator's priority and the prompt length. Only for requests with a
     /// prompt.
     [[nodiscard]] int enginePriority() const noexcept;
     /// \brief How long a target may send nothing before it is checked.
     /// \param answering Whether bytes of the answer have arrived.
-    [[nodiscard]] core::Duration patience(const ChosenTargets &chosen, bool answering) const noexcept;
+    [[nodiscard]] core::Duration silenceCheckDelay(const ChosenTargets &chosen, bool bodyStarted) const noexcept;
     /// \brief How long a target that accepts connections may send nothing before another target is tried.
     /// \param answering Whether bytes of the answer have arrived.
-    [[nodiscard]] core::Duration longestSilence(const ChosenTargets &chosen, bool answering) const noexcept;
+    [[nodiscard]] core::Duration silenceTimeout(const ChosenTargets &chosen, bool bodyStarted) const noexcept;
     /// \brief How long a caller waits for the first event before it abandons the stream.
-    [[nodiscard]] core::Duration callerPatience() const noexcept;
+    [[nodiscard]] core::Duration callerTimeout() const noexcept;
     /// \brief Whether no target of the service is listed and the request has run nowhere, so that waiting is pointless.
     [[nodiscard]] bool hasNoTarget(core::Time now) const;
     /// \brief Why no target is listed: the service has none, or all of them are in evacuated failure domains.
-    [[nodiscard]] core::Reason whyNoTarget(core::Time now) const;
+    [[nodiscard]] core::Reason noTargetReason(core::Time now) const;
     /// \brief When the first permitted target accepts requests from this daemon again; nothing if one does now or if
     /// there is none.
-    [[nodiscard]] std::optional<core::Time> backAt(const TargetQuery &query, core::Time now) const;
+    [[nodiscard]] std::optional<core::Time> availableAt(const TargetQuery &query, core::Time now) const;
     /// \brief Why that target accepts no requests until then.
-    [[nodiscard]] core::Reason whyAway(const TargetQuery &query, core::Time now) const;
-    /// \brief Whether the request would be refused or reach its deadline before `backAt`, so that waiting is pointless.
-    [[nodiscard]] bool backTooLate(core::Time backAt, core::Time now) const noexcept;
-    /// \brief When a request that waits for `backAt` continues: staggered, in the order of the operator's priority.
-    [[nodiscard]] core::Time wakeAt(core::Time backAt) const;
+    [[nodiscard]] core::Reason unavailabilityReason(const TargetQuery &query, core::Time now) const;
+    /// \brief Whether the request would be refused or reach its deadline before `availableAt`, so that waiting is
+    /// pointless.
+    [[nodiscard]] bool availableTooLate(core::Time availableAt, core::Time now) const noexcept;
+    /// \brief When a request that waits for `availableAt` continues: staggered, in the order of the operator's
+    /// priority.
+    [[nodiscard]] core::Time continueAt(core::Time availableAt) const;
     /// \brief Whether a request without an available target should be refused now instead of waiting longer. The time
     /// spent in attempts is not counted: a target that did not accept the connection says nothing about the others.
-    [[nodiscard]] bool waitedEnough(core::Time now) const noexcept;
+    [[nodiscard]] bool waitExpired(core::Time now) const noexcept;
     /// \brief Whether the target recently sent bytes for any request or passed a check, so that it is slow, not dead.
-    [[nodiscard]] bool targetLives(core::Time now) const noexcept;
+    [[nodiscard]] bool targetIsAlive(core::Time now) const noexcept;
     /// \brief Whether the current attempt depends on a target: it answers the request, holds KV memory for the prompt,
     /// or has not processed its part of the prompt yet.
-    [[nodiscard]] bool needs(const Target &target) const noexcept;
+    [[nodiscard]] bool dependsOn(const Target &target) const noexcept;
     /// \brief Whether the request is served by a model engine.
-    [[nodiscard]] bool atEngine() const;
+    [[nodiscard]] bool usesEngine() const;
     /// \brief The target of the current attempt.
     [[nodiscard]] const core::Ref<Target> &target() const noexcept;
     /// \brief When the current attempt started, before its connection was established.
@@ -140,57 +142,57 @@
     /// \brief After which time a caller that is refused now should retry; 0 if a retry cannot succeed.
     [[nodiscard]] core::Duration retryAfter(core::Reason reason, core::Time now) const;
     /// \brief The final error answer if no attempt succeeded.
-    [[nodiscard]] Refusal lastWord(core::Reason reason, core::Time now) const;
+    [[nodiscard]] Refusal finalRefusal(core::Reason reason, core::Time now) const;
 
     /// @}
 
 private:
     /// Slots of the targets of a service, as known to this daemon.
-    struct Places
+    struct SlotUsage
     {
-        std::int64_t taken = 0;
-        std::int64_t all = 0;
+        std::int64_t used = 0;
+        std::int64_t total = 0;
     };
 
     /// When a target accepts requests from this daemon again, and why not now.
-    struct Away
+    struct Unavailability
     {
         core::Time until;
-        core::Reason why;
+        core::Reason reason;
     };
 
     /// Nothing if the target accepts a request now. The rate limits of engines are not checked: only the scheduler that
     /// places their prompts knows whether the limit admits one.
-    [[nodiscard]] std::optional<Away> away(const Target &target, core::Time now) const;
+    [[nodiscard]] std::optional<Unavailability> unavailability(const Target &target, core::Time now) const;
     /// The permitted target that is available first; nothing if one is available now or if there is none.
-    [[nodiscard]] std::optional<Away> firstBack(const TargetQuery &query, core::Time now) const;
+    [[nodiscard]] std::optional<Unavailability> earliestAvailability(const TargetQuery &query, core::Time now) const;
     /// Computes `m_digest`.
-    void noteDigest();
+    void computeDigest();
     /// Records that the target and the engines that help it were reached.
-    void noteReached();
+    void recordReachability();
     /// Refuses work that is known to crash its targets, unless this daemon now sends it as a trial.
     [[nodiscard]] std::optional<Refusal> refuseQuarantined(core::Time now);
     /// Records that the request completed without crashing its target.
-    void noteSurvived(core::Time now);
+    void recordSuccess(core::Time now);
     /// Charges a retry to the fleet-wide retry budget.
     /// \returns Whether the budget allows it.
-    [[nodiscard]] bool takeRepeat(core::Reason cause, core::Time now);
+    [[nodiscard]] bool chargeRetryBudget(core::Reason cause, core::Time now);
     /// Has the scheduler informed soon that the load from this daemon changed.
-    void noteWork();
-    [[nodiscard]] Places placesOf(const std::string &service, core::Time now) const;
+    void reportLoadChange();
+    [[nodiscard]] SlotUsage slotUsage(const std::string &service, core::Time now) const;
     [[nodiscard]] PromptRequest promptRequest(core::Time now) const;
     [[nodiscard]] const std::string &chooseService();
     /// Whether the stream tolerates only short gaps between events.
-    [[nodiscard]] bool isTight() const noexcept;
+    [[nodiscard]] bool needsShortGaps() const noexcept;
     [[nodiscard]] Refusal refuse(core::Reason reason, core::Time now) const;
     /// Maximum time without a target before a request that has run nowhere is refused.
-    [[nodiscard]] core::Duration longestWait() const noexcept;
+    [[nodiscard]] core::Duration maxWait() const noexcept;
     /// Position in the order in which waiting requests continue, 0 to 1: by the operator's priority, random within
     /// one priority.
-    [[nodiscard]] double placeInOrder() const;
+    [[nodiscard]] double wakePosition() const;
 
     RelayContext &m_context;
-    const RequestFacts m_facts;
+    const RequestInfo m_facts;
     const core::Time m_arrivedAt;
     config::RouteTableRef m_table; ///< Keeps `m_route` alive.
     const config::Route *m_route = nullptr;
@@ -199,22 +201,22 @@
     core::Digest m_digest;
     std::int64_t m_priority = 0;
     core::Time m_deadline = absl::InfiniteFuture();
-    bool m_counted = false; ///< Whether the request is counted towards the retry budget of `m_service`.
-    std::vector<std::unique_ptr<Share>> m_shares;
+    bool m_countedInBudget = false; ///< Whether the request is counted towards the retry budget of `m_service`.
+    std::vector<std::unique_ptr<LocalWork>> m_localWork;
     std::vector<std::uint32_t> m_sentTo; ///< Hashes of targets that may have received the request.
-    std::vector<std::uint32_t> m_unreachable; ///< Hashes of targets that could not be connected to.
-    std::vector<std::uint32_t> m_refusedBy; ///< Hashes of the targets in `m_sentTo` that refused the request.
-    ChosenTargets m_current;
-    bool m_someHelpRefused = false; ///< Whether any helper of this request refused or failed to help.
-    bool m_helperAtFault = false; ///< Whether the current target could not answer because a helper failed.
-    core::Duration m_atTargets = absl::ZeroDuration(); ///< Total duration of the ended attempts.
+    std::vector<std::uint32_t> m_unreachableTargets; ///< Hashes of targets that could not be connected to.
+    std::vector<std::uint32_t> m_refusingTargets; ///< Hashes of the targets in `m_sentTo` that refused the request.
+    ChosenTargets m_chosen;
+    bool m_anyHelpFailed = false; ///< Whether any helper of this request refused or failed to help.
+    bool m_helperCausedFailure = false; ///< Whether the current target could not answer because a helper failed.
+    core::Duration m_attemptTime = absl::ZeroDuration(); ///< Total duration of the ended attempts.
     core::Time m_sentAt = absl::InfinitePast();
     core::Time m_answeredAt = absl::InfinitePast(); ///< When the first event or the complete answer arrived.
     core::Time m_lastEventAt = absl::InfinitePast();
     core::Duration m_longestGap = absl::ZeroDuration(); ///< Longest time between two consecutive events.
     int m_attempts = 0;
-    core::Reason m_repeatCause = core::Reason::None; ///< Why the request was last sent again; None if it was not.
-    bool m_ranSomewhere = false;
+    core::Reason m_retryCause = core::Reason::None; ///< Why the request was last sent again; None if it was not.
+    bool m_mayHaveRun = false;
     bool m_isTrial = false; ///< Sent although it is quarantined, to test whether it still crashes its target.
     bool m_finished = false;
 };
--- a/include/spurlug/relay/reservation.h
+++ b/include/spurlug/relay/reservation.h
@@ -19,16 +19,16 @@
 
 /// \brief A KV memory reservation that is renewed until `release`. If this daemon dies, the engine frees the memory
 /// after the hold time.
-class Reservation : public core::Counted<Reservation>
+class Reservation : public core::RefCounted<Reservation>
 {
 public:
     /// \brief Called with the head of each answer to a reserve or release request.
-    using Hear = std::function<void(const net::ResponseHead &)>;
+    using AnswerHandler = std::function<void(const net::ResponseHead &)>;
 
     /// \param hold How long the engine keeps the memory after each reserve request.
     /// \param hear May be called after the end of the relayed request, so it must not refer to that.
     Reservation(net::Loop &loop, core::Address engine, std::string id, net::Request reserve, net::Request release,
-                core::Duration hold, Hear hear);
+                core::Duration holdTime, AnswerHandler onAnswer);
 
     /// \brief Requests the memory and, if it is granted, starts to renew the reservation.
     /// \returns Whether it was granted. If there is no answer, the reservation is released, as the engine may have
@@ -46,17 +46,17 @@
     [[nodiscard]] net::Task<std::optional<net::Response>> order(net::Request order, core::Time until,
                                                                 std::string &problem);
     /// Renews the reservation until it is released.
-    [[nodiscard]] net::Task<> keep();
+    [[nodiscard]] net::Task<> renew();
     /// Sends the release request, with retries.
-    [[nodiscard]] net::Task<> giveBack();
+    [[nodiscard]] net::Task<> sendRelease();
 
     net::Loop &m_loop;
     const core::Address m_engine;
     const std::string m_id;
     const net::Request m_reserve;
     const net::Request m_release;
-    const core::Duration m_hold;
-    const Hear m_hear;
+    const core::Duration m_holdTime;
+    const AnswerHandler m_onAnswer;
     bool m_released = false;
 };
 
--- a/include/spurlug/relay/simple_server.h
+++ b/include/spurlug/relay/simple_server.h
@@ -42,7 +42,7 @@
 
 /// \brief The integer value of a parameter in a URL query (`name=number`, separated by `&`); nothing if it is missing
 /// or not an integer.
-[[nodiscard]] std::optional<std::int64_t> queryNumber(std::string_view query, std::string_view name);
+[[nodiscard]] std::optional<std::int64_t> queryInteger(std::string_view query, std::string_view name);
 
 /// \brief Creates a response with a text body.
 [[nodiscard]] net::Response textResponse(int status, std::string body, std::string_view contentType);
--- a/include/spurlug/relay/target_log.h
+++ b/include/spurlug/relay/target_change_log.h
@@ -18,11 +18,11 @@
 
 /// \brief Changes to the target list, each batch with the directory position that it leads to. A follower asks for the
 /// changes since its own position and gets a few entries instead of the whole list.
-class TargetLog
+class TargetChangeLog
 {
 public:
     /// \brief Clears the log after the whole list was read at a position.
-    void restart(const DirectoryPosition &position);
+    void reset(const DirectoryPosition &position);
     /// \brief Appends the changes up to a position.
     void add(const DirectoryPosition &position, std::vector<TargetChange> changes);
 
@@ -36,10 +36,10 @@
     [[nodiscard]] std::optional<std::vector<TargetChange>> since(const DirectoryPosition &position) const;
 
 private:
-    static constexpr std::size_t MostBatches = 256; ///< Covers some minutes of a release.
+    static constexpr std::size_t MaxBatches = 256; ///< Covers some minutes of a release.
 
     std::deque<std::pair<DirectoryPosition, std::vector<TargetChange>>> m_batches; ///< Oldest first.
-    DirectoryPosition m_reachesBackTo;
+    DirectoryPosition m_startPosition;
     DirectoryPosition m_newest;
 };
 
--- a/include/spurlug/relay/target_choice.h
+++ b/include/spurlug/relay/target_choice.h
@@ -21,9 +21,9 @@
 {
     core::Ref<Target> target;
     std::vector<core::Ref<Target>> helpers; ///< Engines that also hold KV memory for the prompt come first.
-    std::vector<std::int64_t> holdingTokens; ///< KV memory tokens held by each of the first helpers, in order.
-    core::Duration expected; ///< Expected time until the first event.
-    core::Duration partRead; ///< Expected prefill time of each engine's part.
+    std::vector<std::int64_t> reservedTokens; ///< KV memory tokens held by each of the first helpers, in order.
+    core::Duration expectedTtft; ///< Expected time until the first event.
+    core::Duration partPrefillTime; ///< Expected prefill time of each engine's part.
 };
 
 /// \brief What a request requires of its target.
@@ -31,21 +31,21 @@
 {
     std::string service;
     std::optional<PromptRequest> prompt; ///< Set for requests to a model engine.
-    std::vector<std::uint32_t> notAt; ///< Hashes of targets that must not answer the request.
-    std::optional<std::vector<std::uint32_t>> onlyAt; ///< If set, only targets with these hashes may answer it.
+    std::vector<std::uint32_t> excludedTargets; ///< Hashes of targets that must not answer the request.
+    std::optional<std::vector<std::uint32_t>> allowedTargets; ///< If set, only targets with these hashes may answer it.
     /// Hashes of targets to which the requesting daemon must send nothing, not even a prefill part.
-    std::vector<std::uint32_t> unwanted;
-    bool atHome = false; ///< Restricts the choice to the local failure domain if it has targets.
-    bool forFleet = false; ///< True if a scheduler chooses on behalf of all daemons.
-    std::string from; ///< Failure domain of the requesting daemon; empty means this daemon's.
+    std::vector<std::uint32_t> avoidedTargets;
+    bool localDomainOnly = false; ///< Restricts the choice to the local failure domain if it has targets.
+    bool forScheduler = false; ///< True if a scheduler chooses on behalf of all daemons.
+    std::string senderDomain; ///< Failure domain of the requesting daemon; empty means this daemon's.
     /// Restricts helpers to the failure domain of the answering engine. Set after a helper was refused for this
     /// request.
-    bool nearHelpers = false;
+    bool localHelpersOnly = false;
 };
 
 /// \brief Whether a request that tolerates only short gaps and has waited this long may queue at an engine instead of
 /// in the daemon: a refusal after such a wait would come too late to be made up for.
-[[nodiscard]] bool mayQueueAfter(core::Duration waited, core::Duration aim) noexcept;
+[[nodiscard]] bool mayQueueAtEngine(core::Duration waited, core::Duration ttftObjective) noexcept;
 
 /// \brief Chooses targets by what this daemon currently knows.
 /// \returns std::nullopt if no target is free for the request.
@@ -53,7 +53,7 @@
                                                          core::Time now);
 
 /// \brief The work that a prompt adds to each chosen engine; the engine that answers comes last.
-[[nodiscard]] std::vector<std::pair<core::Ref<Target>, Outstanding>> workOf(const ChosenTargets &chosen,
-                                                                            const PromptFacts &prompt);
+[[nodiscard]] std::vector<std::pair<core::Ref<Target>, Outstanding>> addedWork(const ChosenTargets &chosen,
+                                                                               const PromptInfo &prompt);
 
 } // namespace spurlug::relay
--- a/include/spurlug/relay/cold_start.h
+++ b/include/spurlug/relay/warm_up.h
@@ -13,22 +13,22 @@
 {
 
 /// \brief Period in which an incarnation of a target is slow, after its start or at any later time.
-class ColdStart
+class WarmUp
 {
 public:
     /// \brief Notes that the target is warming up until a given time. An earlier notice with a later end stays in
     /// force; both ends are within seconds of each other.
-    void note(core::Time until) noexcept
+    void extend(core::Time end) noexcept
     {
-        m_until = std::max(m_until, until);
+        m_until = std::max(m_until, end);
     }
 
-    [[nodiscard]] bool lasts(core::Time now) const noexcept
+    [[nodiscard]] bool isActive(core::Time now) const noexcept
     {
         return now < m_until;
     }
 
-    [[nodiscard]] core::Time until() const noexcept
+    [[nodiscard]] core::Time endsAt() const noexcept
     {
         return m_until;
     }
--- a/include/spurlug/report/counts.h
+++ b/include/spurlug/report/counts.h
@@ -15,6 +15,6 @@
 using Counts = std::map<std::string, std::int64_t>;
 
 /// \brief Formats all counts on one line, each as " NAME COUNT".
-[[nodiscard]] std::string countsText(const Counts &counts);
+[[nodiscard]] std::string formatCounts(const Counts &counts);
 
 } // namespace spurlug::report
--- a/include/spurlug/report/log_report.h
+++ b/include/spurlug/report/log_report.h
@@ -19,20 +19,20 @@
 {
 
 /// \brief Statistics of the requests that arrived on one route within one interval.
-struct RouteFigures
+struct RouteStatistics
 {
     std::int64_t requests = 0;
     std::int64_t inTime = 0; ///< Completed within the objectives for the first event and the gaps between events.
-    std::int64_t lateFirst = 0; ///< Completed, but the first event was late.
-    std::int64_t longPause = 0; ///< Completed with the first event in time, but with too long a gap between events.
-    std::int64_t notWhole = 0; ///< Not completed, or answered with a server error.
-    Counts ends; ///< Requests that were not completed, by reason.
-    Counts resends; ///< Failed attempts, by reason.
+    std::int64_t lateFirstEvent = 0; ///< Completed, but the first event was late.
+    std::int64_t longGap = 0; ///< Completed with the first event in time, but with too long a gap between events.
+    std::int64_t failed = 0; ///< Not completed, or answered with a server error.
+    Counts failureReasons; ///< Requests that were not completed, by reason.
+    Counts attemptFailures; ///< Failed attempts, by reason.
     /// Of completed requests with one attempt: time from sending to first event, divided by the expected time.
-    std::vector<double> firstToExpected;
-    std::vector<double> pausesMs; ///< Longest gap of each completed request.
-    double readMs = 0; ///< Engine time for prefill.
-    double readInVainMs = 0; ///< The part of `readMs` for requests that were not completed.
+    std::vector<double> firstEventRatios;
+    std::vector<double> longestGapsMs; ///< Longest gap of each completed request.
+    double prefillMs = 0; ///< Engine time for prefill.
+    double wastedPrefillMs = 0; ///< The part of `prefillMs` for requests that were not completed.
 };
 
 /// \brief Computes request statistics from the structured logs of one or more daemons.
@@ -48,7 +48,7 @@
     void addAll(std::istream &lines);
 
     /// \brief Figures by route and start of the interval.
-    [[nodiscard]] std::map<std::string, std::map<core::Time, RouteFigures>> figures() const;
+    [[nodiscard]] std::map<std::string, std::map<core::Time, RouteStatistics>> statistics() const;
     /// \brief A human-readable table: one line per route and interval, with the failure reasons below it.
     [[nodiscard]] std::string text() const;
 
@@ -57,32 +57,32 @@
     {
         double waitedMs = 0; ///< Time from the arrival of the request until this attempt was sent.
         double expectedMs = 0;
-        double readMs = 0;
+        double prefillMs = 0;
     };
 
     struct Request
     {
         std::vector<Attempt> attempts;
-        std::vector<std::string> failures; ///< Reason of each failed attempt.
+        std::vector<std::string> failedAttemptReasons; ///< Reason of each failed attempt.
         core::Time endedAt = absl::InfinitePast();
         std::string route;
         std::string outcome;
         std::string reason;
         std::int64_t status = 0;
-        double firstMs = -1;
+        double firstEventMs = -1;
         double totalMs = 0;
-        double longestPauseMs = 0;
-        double aimMs = 0;
-        double pauseAimMs = 0; ///< 0: there is no objective for gaps.
+        double longestGapMs = 0;
+        double objectiveMs = 0;
+        double gapObjectiveMs = 0; ///< 0: there is no objective for gaps.
     };
 
-    static void count(const Request &request, RouteFigures &figures);
+    static void count(const Request &request, RouteStatistics &figures);
 
     const core::Duration m_interval;
     std::unordered_map<std::string, Request> m_requests;
 };
 
 /// \brief The lines about a request, sorted by time: its path through several daemons.
-[[nodiscard]] std::vector<std::string> linesOf(std::string_view request, std::istream &lines);
+[[nodiscard]] std::vector<std::string> linesOfRequest(std::string_view requestId, std::istream &lines);
 
 } // namespace spurlug::report
--- a/include/spurlug/routing/baselines.h
+++ b/include/spurlug/routing/baselines.h
@@ -20,6 +20,7 @@
 /// \returns Index of the chosen target; nothing if none is usable.
 [[nodiscard]] std::optional<std::size_t> chooseByBaseline(config::RoutingStrategy strategy,
                                                           const std::vector<targets::TargetView> &targets,
-                                                          const std::vector<std::size_t> &usable, std::uint64_t pick);
+                                                          const std::vector<std::size_t> &usable,
+                                                          std::uint64_t randomValue);
 
 } // namespace spurlug::routing
--- a/include/spurlug/routing/choose.h
+++ b/include/spurlug/routing/choose.h
@@ -21,7 +21,7 @@
 {
     std::int64_t tokens = 0; ///< Length of the prompt.
     bool urgent = true; ///< Whether engines prefill it ahead of long prompts.
-    std::uint64_t prefix = 0; ///< Hash of the start of the prompt; 0 if it has no prefix to share.
+    std::uint64_t prefixHash = 0; ///< Hash of the start of the prompt; 0 if it has no prefix to share.
 };
 
 /// \brief Parameters of the selection.
@@ -32,11 +32,13 @@
     /// Subtracted at the target that should have the prompt's prefix cached. Zero, so disabled: its benefit has not
     /// been measured.
     core::Duration affinityBonus = absl::ZeroDuration();
-    double tieShare = 0.10; ///< Targets that exceed the best time by at most this fraction count as equal.
+    double tieFraction = 0.10; ///< Targets that exceed the best time by at most this fraction count as equal.
     core::Duration tieSpan = core::fromMs(5); ///< Targets that exceed the best time by at most this count as equal.
-    core::Duration spillAfter = core::fromMs(250); ///< Expected time at home beyond which other domains are considered.
+    core::Duration spillThreshold
+        = core::fromMs(250); ///< Expected time at home beyond which other domains are considered.
     core::Duration spillPenalty = core::fromMs(50); ///< Added to the expected time in another failure domain.
-    core::Duration remoteFresh = absl::Seconds(20); ///< Maximum age of a usable report from another failure domain.
+    core::Duration maxRemoteReportAge
+        = absl::Seconds(20); ///< Maximum age of a usable report from another failure domain.
     config::RoutingStrategy strategy = config::RoutingStrategy::ExpectedTtft;
     std::int64_t chunkTokens = 8192; ///< Prefill tokens that a short prompt waits for while a long one is prefilled.
     double defaultPrefillRate = 10'000; ///< Tokens per second, for targets that have not reported a rate.
@@ -46,9 +48,9 @@
 struct Candidate
 {
     std::string id; ///< Of the target.
-    core::Duration expected = absl::InfiniteDuration(); ///< Expected time to first token.
+    core::Duration estimatedTtft = absl::InfiniteDuration(); ///< Expected time to first token.
     bool usable = false; ///< Whether the target may be chosen.
-    std::string_view why; ///< What speaks against the target; a static string, empty if nothing does.
+    std::string_view unusableReason; ///< What speaks against the target; a static string, empty if nothing does.
 };
 
 /// \brief Result of a selection.
@@ -66,7 +68,8 @@
 /// \param excluded Ids of targets that this request has already tried; used only if no other target is usable.
 /// \param pick Random number, so that daemons that see the same stale report do not all choose the same target.
 [[nodiscard]] Choice chooseTarget(const RouteRequest &request, const std::vector<targets::TargetView> &targets,
-                                  const std::vector<std::string> &excluded, const RouteRule &rule, std::uint64_t pick);
+                                  const std::vector<std::string> &excluded, const RouteRule &rule,
+                                  std::uint64_t randomValue);
 
 /// \brief Selects a target from all failure domains, preferring those of the home domain.
 ///
@@ -75,7 +78,7 @@
 /// targets are considered.
 /// \param home This daemon's failure domain.
 [[nodiscard]] Choice chooseAcrossDomains(const RouteRequest &request, const std::vector<targets::TargetView> &targets,
-                                         const std::string &home, const std::vector<std::string> &excluded,
-                                         const RouteRule &rule, std::uint64_t pick);
+                                         const std::string &localDomain, const std::vector<std::string> &excluded,
+                                         const RouteRule &rule, std::uint64_t randomValue);
 
 } // namespace spurlug::routing
--- a/include/spurlug/settings/placement_rule.h
+++ b/include/spurlug/settings/placement_weights.h
@@ -13,7 +13,7 @@
 
 /// \brief Weights for the choice of targets. Costs are in ms of delay. docs/ROUTING.md explains the weights;
 /// docs/BENANGJAYA.md lists the ranges in which they make no difference.
-struct PlacementRule
+struct PlacementWeights
 {
     /// Streams whose maximum gap between events is below this tolerate only short gaps ("tight"): prefilling a long
     /// prompt beside them makes them late. The value only divides the gaps of the routes into two kinds.
--- a/include/spurlug/settings/relay_settings.h
+++ b/include/spurlug/settings/relay_settings.h
@@ -7,7 +7,7 @@
 #include "spurlug/core/address.h"
 #include "spurlug/core/log.h"
 #include "spurlug/core/time.h"
-#include "spurlug/settings/placement_rule.h"
+#include "spurlug/settings/placement_weights.h"
 
 #include <string>
 #include <vector>
@@ -53,10 +53,10 @@
     int readersPerDomain = 1;
     core::LogLevel logLevel = core::LogLevel::Info;
     RelayBounds bounds;
-    PlacementRule placement;
+    PlacementWeights placement;
 
     /// \brief Whether this daemon shares its part of the fleet's limits with the daemons of a failure domain.
-    [[nodiscard]] bool countsTogether(const std::string &domain) const
+    [[nodiscard]] bool sharesLimitsWith(const std::string &domain) const
     {
         return failureDomains.empty() || domain == failureDomain;
     }
--- a/include/spurlug/targets/cooldown.h
+++ b/include/spurlug/targets/cooldown.h
@@ -13,7 +13,7 @@
 
 /// Longer requested cooldowns are cut to this: such a time must be a mistake, and one corrupt answer must not exclude a
 /// target permanently.
-inline constexpr auto LongestCooldown = absl::Minutes(5);
+inline constexpr auto MaxCooldown = absl::Minutes(5);
 
 /// \brief Cooldown that one target requested from this daemon. Other daemons may still send requests to it.
 class Cooldown
@@ -21,26 +21,26 @@
 public:
     /// \brief Applies a cooldown requested in an answer. Each counts from its own answer, and a shorter one does not
     /// end an earlier one.
-    /// \param span Limited to LongestCooldown.
-    void ask(core::Duration span, core::Time now) noexcept
+    /// \param span Limited to MaxCooldown.
+    void request(core::Duration duration, core::Time now) noexcept
     {
-        m_until = std::max(m_until, now + std::min(span, core::Duration(LongestCooldown)));
+        m_endsAt = std::max(m_endsAt, now + std::min(duration, core::Duration(MaxCooldown)));
     }
 
     /// \brief Whether the cooldown is in effect.
-    [[nodiscard]] bool lasts(core::Time now) const noexcept
+    [[nodiscard]] bool isActive(core::Time now) const noexcept
     {
-        return now < m_until;
+        return now < m_endsAt;
     }
 
     /// \brief End of the cooldown; infinite past if none was requested.
-    [[nodiscard]] core::Time until() const noexcept
+    [[nodiscard]] core::Time endsAt() const noexcept
     {
-        return m_until;
+        return m_endsAt;
     }
 
 private:
-    core::Time m_until = absl::InfinitePast();
+    core::Time m_endsAt = absl::InfinitePast();
 };
 
 } // namespace spurlug::targets
--- a/include/spurlug/targets/engine_control.h
+++ b/include/spurlug/targets/engine_control.h
@@ -40,7 +40,7 @@
     [[nodiscard]] std::optional<LoadReport> read();
 
     /// \brief Estimated bytes of the last read in both directions, including TCP and IP headers.
-    [[nodiscard]] std::int64_t lastBytes() const noexcept;
+    [[nodiscard]] std::int64_t lastTransferBytes() const noexcept;
 
     /// \brief Address of the engine.
     [[nodiscard]] const core::Address &address() const noexcept;
--- a/include/spurlug/targets/load_report.h
+++ b/include/spurlug/targets/load_report.h
@@ -16,7 +16,7 @@
 {
     Unknown, ///< No report has been received yet.
     Serving,
-    Leaving, ///< It finishes its requests and accepts no new ones.
+    Draining, ///< It finishes its requests and accepts no new ones.
     Unreachable, ///< It does not answer its observer.
 };
 
@@ -32,7 +32,7 @@
     static constexpr std::array table{
         EnumName<Condition>{Condition::Unknown, "unknown"},
         EnumName<Condition>{Condition::Serving, "serving"},
-        EnumName<Condition>{Condition::Leaving, "leaving"},
+        EnumName<Condition>{Condition::Draining, "leaving"},
         EnumName<Condition>{Condition::Unreachable, "unreachable"},
     };
 };
--- a/include/spurlug/targets/observer.h
+++ b/include/spurlug/targets/observer.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "spurlug/config/configuration.h"
-#include "spurlug/core/periodic.h"
+#include "spurlug/core/periodic_thread.h"
 #include "spurlug/core/worker_pool.h"
 #include "spurlug/membership/fleet.h"
 #include "spurlug/membership/heartbeat.h"
@@ -44,7 +44,7 @@
     [[nodiscard]] std::vector<membership::ObservedLoad> ownLoads(core::Time now) const ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
-    struct Observed
+    struct ObservedTarget
     {
         LoadReport report;
         core::Time readAt;
@@ -52,9 +52,9 @@
     using Readers = std::map<std::string, std::unique_ptr<LoadReader>>;
 
     core::Duration pollRound();
-    void keepReaders(const std::vector<config::TargetSpec> &specs) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void updateReaders(const std::vector<config::TargetSpec> &specs) ABSL_LOCKS_EXCLUDED(m_mutex);
     void poll(const std::string &id, LoadReader &reader) ABSL_LOCKS_EXCLUDED(m_mutex);
-    [[nodiscard]] std::vector<config::TargetSpec> assigned() const;
+    [[nodiscard]] std::vector<config::TargetSpec> assignedTargets() const;
 
     membership::Fleet &m_fleet;
     TargetTable &m_table;
@@ -63,10 +63,10 @@
     const std::string m_failureDomain;
     const core::Duration m_interval;
     mutable absl::Mutex m_mutex;
-    std::map<std::string, Observed> m_observed ABSL_GUARDED_BY(m_mutex);
+    std::map<std::string, ObservedTarget> m_observed ABSL_GUARDED_BY(m_mutex);
     Readers m_readers; ///< By id, of the targets assigned in the last round; used only by `pollRound`.
     core::WorkerPool m_pool;
-    std::unique_ptr<core::Periodic> m_poller;
+    std::unique_ptr<core::PeriodicThread> m_poller;
 };
 
 } // namespace spurlug::targets
--- a/include/spurlug/targets/rate_news.h
+++ b/include/spurlug/targets/rate_report.h
@@ -13,9 +13,9 @@
 {
 
 /// \brief Request rate limit that a target last announced for the whole fleet.
-struct RateNews
+struct RateReport
 {
-    std::uint32_t target = 0; ///< relay::lifeHash of the target.
+    std::uint32_t target = 0; ///< relay::incarnationHash of the target.
     std::optional<double> perSecond; ///< Requests per second; empty if the limit was lifted.
     core::Duration age = absl::ZeroDuration(); ///< Time since the announcement.
 };
--- a/include/spurlug/targets/target_table.h
+++ b/include/spurlug/targets/target_table.h
@@ -21,11 +21,11 @@
 {
 
 /// \brief When a failing target is ejected, and for how long.
-struct BreakerRule
+struct CircuitBreakerRule
 {
-    int failures = 3; ///< Consecutive failures that eject a target.
+    int failuresToEject = 3; ///< Consecutive failures that eject a target.
     core::Duration firstEjection = absl::Seconds(2); ///< Doubles with each consecutive ejection.
-    core::Duration longestEjection = absl::Seconds(30); ///< Limit of the doubling.
+    core::Duration maxEjection = absl::Seconds(30); ///< Limit of the doubling.
 };
 
 /// \brief A target as routing sees it.
@@ -37,7 +37,7 @@
     LoadReport report; ///< The latest one.
     core::Duration reportAge = absl::InfiniteDuration(); ///< Infinite if there is no report.
     /// Prefill tokens of requests that this daemon sent since the report and that await their first token.
-    std::int64_t ownTokens = 0;
+    std::int64_t ownPrefillTokens = 0;
     std::int64_t ownStreams = 0; ///< Requests of this daemon in progress at the target.
     bool ejected = false; ///< Excluded because of failures.
     core::Duration cooldownLeft = absl::ZeroDuration(); ///< Remaining cooldown that it requested from this daemon.
@@ -49,7 +49,7 @@
 class TargetTable
 {
 public:
-    explicit TargetTable(BreakerRule rule = {});
+    explicit TargetTable(CircuitBreakerRule rule = {});
 
     /// \name Commands
     /// @{
@@ -60,23 +60,24 @@
     /// \brief Stores a load report, unless one as new or newer is known. Keeps the previous prefill rate if the report
     /// has none.
     /// \param observedAt When the report was read from the target, by this daemon's clock.
-    void report(std::uint32_t targetHash, const LoadReport &report, core::Time observedAt) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void recordReport(std::uint32_t targetHash, const LoadReport &report, core::Time observedAt)
+        ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Records that a request is sent to a target.
     /// \param tokens Prefill tokens that the target has to process.
-    void dispatched(const std::string &id, const std::string &requestId, std::int64_t tokens, core::Time now)
+    void recordDispatch(const std::string &id, const std::string &requestId, std::int64_t tokens, core::Time now)
         ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Records a request's first token: its prefill is complete.
-    void firstToken(const std::string &id, const std::string &requestId) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void recordFirstToken(const std::string &id, const std::string &requestId) ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Records the end of a request.
     /// \param targetFailed Whether the target, not the request or the caller, was at fault.
-    void ended(const std::string &id, const std::string &requestId, bool targetFailed, core::Time now)
+    void recordEnd(const std::string &id, const std::string &requestId, bool targetFailed, core::Time now)
         ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Records that a target rejected a request and requested a cooldown from this daemon.
-    void askedForCooldown(const std::string &id, core::Duration span, core::Time now) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void recordCooldown(const std::string &id, core::Duration duration, core::Time now) ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// @}
     /// \name Queries
@@ -92,7 +93,7 @@
     struct Dispatch
     {
         std::int64_t tokens = 0;
-        core::Time at;
+        core::Time sentAt;
         bool prefilling = true;
     };
     struct Entry
@@ -101,16 +102,16 @@
         LoadReport report;
         core::Time observedAt = absl::InfinitePast();
         std::unordered_map<std::string, Dispatch> dispatches;
-        int failures = 0;
-        int ejections = 0;
+        int consecutiveFailures = 0;
+        int consecutiveEjections = 0;
         core::Time ejectedUntil = absl::InfinitePast();
         Cooldown cooldown;
     };
 
-    [[nodiscard]] TargetView view(const Entry &entry, core::Time now) const;
-    void noteFailure(Entry &entry, core::Time now) const;
+    [[nodiscard]] TargetView viewOf(const Entry &entry, core::Time now) const;
+    void recordFailure(Entry &entry, core::Time now) const;
 
-    const BreakerRule m_rule;
+    const CircuitBreakerRule m_rule;
     mutable absl::Mutex m_mutex;
     std::unordered_map<std::string, Entry> m_entries ABSL_GUARDED_BY(m_mutex);
     std::unordered_map<std::uint32_t, std::string> m_idByHash ABSL_GUARDED_BY(m_mutex);
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -46,13 +46,13 @@
     return requestClass;
 }
 
-core::Duration readDeadline(std::string_view text, const config::RequestClass &terms)
+core::Duration parseDeadline(std::string_view text, const config::RequestClass &terms)
 {
     if (text.empty()) {
         return terms.defaultDeadline;
     }
     std::int64_t milliseconds = 0;
-    if (!core::readNumber(text, milliseconds) || milliseconds <= 0) {
+    if (!core::parseInteger(text, milliseconds) || milliseconds <= 0) {
         throw Refused(Reason::InvalidDeadline, "the deadline must be a positive number of milliseconds");
     }
     return std::min(core::fromMs(milliseconds), terms.maxDeadline);
@@ -63,47 +63,47 @@
 Caller identifyCaller(const config::ConfigurationRef &configuration, std::string_view authorization,
                       std::string_view className, std::string_view deadlineText)
 {
-    constexpr int ReadyInSeconds = 1;
+    constexpr int RetryAfterSeconds = 1;
     if (!configuration) {
-        throw Refused(Reason::NotReady, "this daemon has no configuration yet", ReadyInSeconds);
+        throw Refused(Reason::NotReady, "this daemon has no configuration yet", RetryAfterSeconds);
     }
     static const config::RequestClass defaultTerms;
     Caller caller;
     caller.configuration = configuration;
     caller.organisation = &findOrganisation(*configuration, authorization);
     caller.requestClass = findClass(*configuration, className);
-    caller.deadline = readDeadline(deadlineText, caller.requestClass ? *caller.requestClass : defaultTerms);
+    caller.deadline = parseDeadline(deadlineText, caller.requestClass ? *caller.requestClass : defaultTerms);
     return caller;
 }
 
 int enginesNeeded(const config::Pool &pool, std::int64_t kvTokens)
 {
-    const auto engines = (kvTokens + pool.engineTokens - 1) / pool.engineTokens;
-    if (engines > pool.maxGroup) {
+    const auto engines = (kvTokens + pool.engineKvTokens - 1) / pool.engineKvTokens;
+    if (engines > pool.maxGroupSize) {
         throw Refused(Reason::PromptTooLong,
                       core::cat("the prompt and its answer need ", kvTokens, " tokens of memory; at most ",
-                                pool.maxGroup * pool.engineTokens, " can be had"));
+                                pool.maxGroupSize * pool.engineKvTokens, " can be had"));
     }
     return static_cast<int>(std::max<std::int64_t>(engines, 1));
 }
 
-void TokenRatios::learn(const std::string &model, std::int64_t promptBytes, std::int64_t promptTokens)
+void TokenEstimator::update(const std::string &model, std::int64_t promptBytes, std::int64_t promptTokens)
 {
     if (promptBytes <= 0 || promptTokens <= 0) {
         return;
     }
-    constexpr double Weight = 0.05; // Of one answer in the moving average.
+    constexpr double SampleWeight = 0.05; // Of one answer in the moving average.
     const double ratio = static_cast<double>(promptBytes) / static_cast<double>(promptTokens);
     absl::MutexLock lock(&m_mutex);
     auto &mean = m_bytesPerToken.try_emplace(model, ratio).first->second;
-    mean += Weight * (ratio - mean);
+    mean += SampleWeight * (ratio - mean);
 }
 
-std::int64_t TokenRatios::estimate(const config::Pool &pool, std::int64_t promptBytes) const
+std::int64_t TokenEstimator::estimate(const config::Pool &pool, std::int64_t promptBytes) const
 {
     absl::MutexLock lock(&m_mutex);
-    const auto learned = m_bytesPerToken.find(pool.model);
-    const double ratio = learned == m_bytesPerToken.end() ? pool.bytesPerToken : learned->second;
+    const auto found = m_bytesPerToken.find(pool.model);
+    const double ratio = found == m_bytesPerToken.end() ? pool.initialBytesPerToken : found->second;
     return static_cast<std::int64_t>(std::ceil(static_cast<double>(promptBytes) / ratio));
 }
 
--- a/src/admission/request_body.cpp
+++ b/src/admission/request_body.cpp
@@ -18,7 +18,7 @@
 {
 
 constexpr std::size_t PrefixBytes = 2048;
-constexpr std::size_t DeepestNesting = 64;
+constexpr std::size_t MaxNesting = 64;
 
 /// SAX handler: processes values one by one, so that a prompt of several megabytes is not stored again in a JSON tree.
 class BodyHandler : public nlohmann::json_sax<nlohmann::json>
@@ -44,12 +44,12 @@
 
     bool number_integer(number_integer_t value) override
     {
-        return noteNumber(value);
+        return handleNumber(value);
     }
 
     bool number_unsigned(number_unsigned_t value) override
     {
-        return noteNumber(static_cast<std::int64_t>(value));
+        return handleNumber(static_cast<std::int64_t>(value));
     }
 
     bool number_float(number_float_t /*value*/, const string_t & /*text*/) override
@@ -62,7 +62,7 @@
         if (m_path.size() == 1 && m_key == "model") {
             body.model = value;
         } else if (inPrompt()) {
-            notePrompt(value);
+            addPromptText(value);
         }
         return true;
     }
@@ -74,7 +74,7 @@
 
     bool start_object(std::size_t /*elements*/) override
     {
-        return enter();
+        return enterScope();
     }
 
     bool key(string_t &value) override
@@ -85,17 +85,17 @@
 
     bool end_object() override
     {
-        return leave();
+        return leaveScope();
     }
 
     bool start_array(std::size_t /*elements*/) override
     {
-        return enter();
+        return enterScope();
     }
 
     bool end_array() override
     {
-        return leave();
+        return leaveScope();
     }
 
     bool parse_error(std::size_t /*position*/, const std::string & /*token*/,
@@ -106,13 +106,13 @@
     }
 
 private:
-    bool enter()
+    bool enterScope()
     {
         m_path.push_back(m_key);
-        return m_path.size() < DeepestNesting;
+        return m_path.size() < MaxNesting;
     }
 
-    bool leave()
+    bool leaveScope()
     {
         m_key = m_path.back();
         m_path.pop_back();
@@ -125,7 +125,7 @@
         return top == "prompt" || (top == "messages" && (m_key == "content" || m_key == "text"));
     }
 
-    bool noteNumber(std::int64_t value)
+    bool handleNumber(std::int64_t value)
     {
         if (m_path.size() == 1 && (m_key == "max_tokens" || m_key == "max_completion_tokens")) {
             body.maxTokens = value;
@@ -133,29 +133,29 @@
         return true;
     }
 
-    void notePrompt(const std::string &text)
+    void addPromptText(const std::string &text)
     {
         body.promptBytes += static_cast<std::int64_t>(text.size());
-        if (m_prefixLeft == 0) {
+        if (m_prefixBytesLeft == 0) {
             return;
         }
-        const auto taken = std::string_view(text).substr(0, m_prefixLeft);
-        m_prefixHash = core::fastHash(taken, m_prefixHash);
-        m_prefixLeft -= taken.size();
-        if (m_prefixLeft == 0) {
-            body.prefix = m_prefixHash;
+        const auto part = std::string_view(text).substr(0, m_prefixBytesLeft);
+        m_prefixHash = core::fastHash(part, m_prefixHash);
+        m_prefixBytesLeft -= part.size();
+        if (m_prefixBytesLeft == 0) {
+            body.prefixHash = m_prefixHash;
         }
     }
 
     std::vector<std::string> m_path;
     std::string m_key;
     std::uint64_t m_prefixHash = 1;
-    std::size_t m_prefixLeft = PrefixBytes;
+    std::size_t m_prefixBytesLeft = PrefixBytes;
 };
 
 } // namespace
 
-RequestBody readRequestBody(std::string_view body)
+RequestBody parseRequestBody(std::string_view body)
 {
     using core::Reason;
     BodyHandler handler;
--- a/src/claims/claim_shard.cpp
+++ b/src/claims/claim_shard.cpp
@@ -17,20 +17,20 @@
 std::string claimName(std::string_view organisation, std::string_view idempotencyKey)
 {
     constexpr std::size_t NameDigits = 32;
-    return core::contentHash(core::cat(organisation, "\n", idempotencyKey)).substr(0, NameDigits);
+    return core::sha256Hex(core::cat(organisation, "\n", idempotencyKey)).substr(0, NameDigits);
 }
 
 int shardOf(std::string_view claimName) noexcept
 {
-    return static_cast<int>(core::fastHash(claimName) % Shards);
+    return static_cast<int>(core::fastHash(claimName) % ShardCount);
 }
 
-std::string shardObject(int shard)
+std::string shardObjectName(int shard)
 {
     return core::cat("claims/", shard);
 }
 
-ClaimTable readShard(std::string_view text)
+ClaimTable parseShard(std::string_view text)
 {
     try {
         ClaimTable table;
@@ -44,7 +44,7 @@
     }
 }
 
-std::string writeShard(const ClaimTable &table)
+std::string serialiseShard(const ClaimTable &table)
 {
     auto value = nlohmann::json::object();
     for (const auto &[name, claim] : table) {
@@ -53,9 +53,10 @@
     return value.dump();
 }
 
-void dropOld(ClaimTable &table, std::int64_t nowSeconds)
+void dropExpired(ClaimTable &table, std::int64_t nowSeconds)
 {
-    std::erase_if(table, [nowSeconds](const auto &item) { return nowSeconds - item.second.claimedAt > KeptSeconds; });
+    std::erase_if(table,
+                  [nowSeconds](const auto &item) { return nowSeconds - item.second.claimedAt > ClaimLifetimeSeconds; });
 }
 
 } // namespace spurlug::claims
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -18,97 +18,98 @@
 namespace
 {
 
-constexpr std::int64_t MostTokens = 100'000'000;
-constexpr std::int64_t MostMs = 86'400'000;
-constexpr std::int64_t MostGroup = 64;
-constexpr std::int64_t MostPriority = 1000;
+constexpr std::int64_t MaxTokens = 100'000'000;
+constexpr std::int64_t MaxDurationMs = 86'400'000;
+constexpr std::int64_t MaxGroupSize = 64;
+constexpr std::int64_t MaxPriority = 1000;
 constexpr std::size_t DigestDigits = 64;
-constexpr double MostRate = 1e12;
+constexpr double MaxRate = 1e12;
 
 template<typename Item>
-const Item *findNamed(const std::vector<Item> &items, std::string_view name) noexcept
+const Item *findByName(const std::vector<Item> &items, std::string_view name) noexcept
 {
     const auto found = std::find_if(items.begin(), items.end(), [name](const Item &item) { return item.name == name; });
     return found == items.end() ? nullptr : &*found;
 }
 
-TargetSpec readTarget(core::ObjectReader &reader)
+TargetSpec parseTarget(core::ObjectReader &reader)
 {
     TargetSpec target;
-    target.id = reader.text("id");
-    target.failureDomain = reader.text("failureDomain");
-    target.checksFence = reader.flag("checksFence", false);
-    const auto address = reader.text("address");
+    target.id = reader.string("id");
+    target.failureDomain = reader.string("failureDomain");
+    target.checksFencingEpoch = reader.boolean("checksFence", false);
+    const auto address = reader.string("address");
     try {
         target.address = core::parseAddress(address.empty() ? "missing:0" : address);
     } catch (const core::InvalidDocument &) {
-        reader.fault("address", "HOST:PORT");
+        reader.addFault("address", "HOST:PORT");
     }
     return target;
 }
 
-Pool readPool(core::ObjectReader &reader)
+Pool parsePool(core::ObjectReader &reader)
 {
     Pool pool;
-    pool.name = reader.text("name");
-    pool.model = reader.text("model");
-    pool.longThresholdTokens = reader.integer("longThresholdTokens", 1, MostTokens, pool.longThresholdTokens);
-    pool.engineTokens = reader.integer("engineTokens", 1, MostTokens, pool.engineTokens);
-    pool.maxGroup = reader.integer("maxGroup", 1, MostGroup, pool.maxGroup);
-    pool.longShare = reader.number("longShare", 0, 1, pool.longShare);
-    pool.bytesPerToken = reader.number("bytesPerToken", 0.1, 100, pool.bytesPerToken);
-    const auto routing = core::valueNamed<RoutingStrategy>(reader.text("routing", "expected_ttft"));
+    pool.name = reader.string("name");
+    pool.model = reader.string("model");
+    pool.longPromptTokens = reader.integer("longThresholdTokens", 1, MaxTokens, pool.longPromptTokens);
+    pool.engineKvTokens = reader.integer("engineTokens", 1, MaxTokens, pool.engineKvTokens);
+    pool.maxGroupSize = reader.integer("maxGroup", 1, MaxGroupSize, pool.maxGroupSize);
+    pool.maxLongPromptShare = reader.number("longShare", 0, 1, pool.maxLongPromptShare);
+    pool.initialBytesPerToken = reader.number("bytesPerToken", 0.1, 100, pool.initialBytesPerToken);
+    const auto routing = core::enumFromName<RoutingStrategy>(reader.string("routing", "expected_ttft"));
     if (!routing) {
-        reader.fault("routing", "expected_ttft, random, round_robin, least_outstanding or power_of_two");
+        reader.addFault("routing", "expected_ttft, random, round_robin, least_outstanding or power_of_two");
     }
     pool.routing = routing.value_or(RoutingStrategy::ExpectedTtft);
-    reader.objects("targets", [&](core::ObjectReader &child) { pool.targets.push_back(readTarget(child)); });
+    reader.forEachObject("targets", [&](core::ObjectReader &child) { pool.targets.push_back(parseTarget(child)); });
     return pool;
 }
 
-Service readService(core::ObjectReader &reader)
+Service parseService(core::ObjectReader &reader)
 {
     Service service;
-    service.name = reader.text("name");
-    service.repeatableMethods = reader.texts("repeatableMethods");
-    reader.objects("targets", [&](core::ObjectReader &child) { service.targets.push_back(readTarget(child)); });
+    service.name = reader.string("name");
+    service.repeatableMethods = reader.strings("repeatableMethods");
+    reader.forEachObject("targets", [&](core::ObjectReader &child) { service.targets.push_back(parseTarget(child)); });
     return service;
 }
 
-KeyDigest readKey(core::ObjectReader &reader)
+KeyDigest parseKeyDigest(core::ObjectReader &reader)
 {
     KeyDigest key;
-    key.salt = reader.text("salt");
-    key.digest = reader.text("digest");
+    key.salt = reader.string("salt");
+    key.digest = reader.string("digest");
     if (key.digest.size() != DigestDigits) {
-        reader.fault("digest", "64 hexadecimal digits");
+        reader.addFault("digest", "64 hexadecimal digits");
     }
     return key;
 }
 
-Organisation readOrganisation(core::ObjectReader &reader)
+Organisation parseOrganisation(core::ObjectReader &reader)
 {
     Organisation organisation;
-    organisation.name = reader.text("name");
+    organisation.name = reader.string("name");
     organisation.weight = reader.number("weight", 0.001, 1000, organisation.weight);
-    organisation.requestsPerSecond = reader.number("requestsPerSecond", 0, MostRate, 0);
-    organisation.promptTokensPerMinute = reader.number("promptTokensPerMinute", 0, MostRate, 0);
-    organisation.longPromptsAtOnce = reader.integer("longPromptsAtOnce", 0, MostTokens, 0);
-    reader.objects("keys", [&](core::ObjectReader &child) { organisation.keys.push_back(readKey(child)); });
+    organisation.maxRequestsPerSecond = reader.number("requestsPerSecond", 0, MaxRate, 0);
+    organisation.maxPromptTokensPerMinute = reader.number("promptTokensPerMinute", 0, MaxRate, 0);
+    organisation.maxConcurrentLongPrompts = reader.integer("longPromptsAtOnce", 0, MaxTokens, 0);
+    reader.forEachObject("keys",
+                         [&](core::ObjectReader &child) { organisation.keys.push_back(parseKeyDigest(child)); });
     return organisation;
 }
 
-RequestClass readClass(core::ObjectReader &reader)
+RequestClass parseRequestClass(core::ObjectReader &reader)
 {
     RequestClass requestClass;
-    requestClass.name = reader.text("name");
+    requestClass.name = reader.string("name");
     requestClass.defaultDeadline
-        = core::fromMs(reader.integer("defaultDeadlineMs", 1, MostMs, core::toMs(requestClass.defaultDeadline)));
+        = core::fromMs(reader.integer("defaultDeadlineMs", 1, MaxDurationMs, core::toMs(requestClass.defaultDeadline)));
     requestClass.maxDeadline
-        = core::fromMs(reader.integer("maxDeadlineMs", 1, MostMs, core::toMs(requestClass.maxDeadline)));
-    requestClass.priority = reader.integer("priority", 0, MostPriority, 0);
+        = core::fromMs(reader.integer("maxDeadlineMs", 1, MaxDurationMs, core::toMs(requestClass.maxDeadline)));
+    requestClass.priority = reader.integer("priority", 0, MaxPriority, 0);
     if (requestClass.defaultDeadline > requestClass.maxDeadline) {
-        reader.fault("defaultDeadlineMs", "at most maxDeadlineMs");
+        reader.addFault("defaultDeadlineMs", "at most maxDeadlineMs");
     }
     return requestClass;
 }
@@ -175,17 +176,17 @@
 
 const Pool *Configuration::poolNamed(std::string_view name) const noexcept
 {
-    return findNamed(pools, name);
+    return findByName(pools, name);
 }
 
 const Service *Configuration::serviceNamed(std::string_view name) const noexcept
 {
-    return findNamed(services, name);
+    return findByName(services, name);
 }
 
 const RequestClass *Configuration::classNamed(std::string_view name) const noexcept
 {
-    return findNamed(classes, name);
+    return findByName(classes, name);
 }
 
 const Organisation *Configuration::organisationNamed(std::string_view name) const noexcept
@@ -204,7 +205,7 @@
     return &organisations[found->second.organisation];
 }
 
-void Configuration::index()
+void Configuration::buildIndex()
 {
     for (std::size_t i = 0; i < organisations.size(); ++i) {
         m_organisationsByName[organisations[i].name] = i;
@@ -216,23 +217,23 @@
 
 std::string keyDigest(std::string_view salt, std::string_view key)
 {
-    return core::contentHash(core::cat(salt, "\n", key));
+    return core::sha256Hex(core::cat(salt, "\n", key));
 }
 
-ConfigurationRef readConfiguration(const nlohmann::json &document, std::int64_t generation,
-                                   std::vector<core::Fault> &faults)
+ConfigurationRef parseConfiguration(const nlohmann::json &document, std::int64_t generation,
+                                    std::vector<core::Fault> &faults)
 {
-    auto configuration = core::makeCounted<Configuration>();
+    auto configuration = core::makeRef<Configuration>();
     configuration->generation = generation;
     core::ObjectReader reader(document, "", faults);
-    reader.objects("pools", [&](auto &child) { configuration->pools.push_back(readPool(child)); });
-    reader.objects("services", [&](auto &child) { configuration->services.push_back(readService(child)); });
-    reader.objects("organisations",
-                   [&](auto &child) { configuration->organisations.push_back(readOrganisation(child)); });
-    reader.objects("classes", [&](auto &child) { configuration->classes.push_back(readClass(child)); });
-    reader.rejectOthers();
+    reader.forEachObject("pools", [&](auto &child) { configuration->pools.push_back(parsePool(child)); });
+    reader.forEachObject("services", [&](auto &child) { configuration->services.push_back(parseService(child)); });
+    reader.forEachObject("organisations",
+                         [&](auto &child) { configuration->organisations.push_back(parseOrganisation(child)); });
+    reader.forEachObject("classes", [&](auto &child) { configuration->classes.push_back(parseRequestClass(child)); });
+    reader.rejectUnknownMembers();
     checkNames(*configuration, faults);
-    configuration->index();
+    configuration->buildIndex();
     return configuration;
 }
 
--- a/src/config/parts.cpp
+++ b/src/config/parts.cpp
@@ -18,12 +18,12 @@
 namespace
 {
 
-constexpr std::string_view OrganisationPart = "organisations-";
+constexpr std::string_view OrganisationPartPrefix = "organisations-";
 
-void addPart(Split &split, const std::string &name, const nlohmann::json &value)
+void addPart(SplitConfiguration &split, const std::string &name, const nlohmann::json &value)
 {
     auto text = value.dump();
-    auto hash = core::contentHash(text);
+    auto hash = core::sha256Hex(text);
     split.parts[name] = hash;
     split.texts[hash] = std::move(text);
 }
@@ -32,7 +32,7 @@
 {
     std::map<std::string, nlohmann::json> shards;
     for (const auto &organisation : organisations) {
-        const auto shard = core::fastHash(organisation.value("name", "")) % OrganisationShards;
+        const auto shard = core::fastHash(organisation.value("name", "")) % OrganisationShardCount;
         shards[absl::StrFormat("organisations-%02d", shard)].push_back(organisation);
     }
     return shards;
@@ -44,7 +44,7 @@
     if (found == texts.end()) {
         throw core::InvalidDocument(core::cat("part ", name, " is missing"));
     }
-    if (core::contentHash(found->second) != hash) {
+    if (core::sha256Hex(found->second) != hash) {
         throw core::InvalidDocument(core::cat("part ", name, " does not match its hash"));
     }
     auto value = nlohmann::json::parse(found->second, nullptr, false);
@@ -56,14 +56,14 @@
 
 } // namespace
 
-std::string partObject(std::string_view hash)
+std::string partObjectName(std::string_view hash)
 {
     return core::cat("config/parts/", hash);
 }
 
-Split splitDocument(const nlohmann::json &document)
+SplitConfiguration splitDocument(const nlohmann::json &document)
 {
-    Split split;
+    SplitConfiguration split;
     for (const auto &[key, value] : document.items()) {
         if (key != "organisations") {
             addPart(split, key, value);
@@ -82,7 +82,7 @@
     document["organisations"] = nlohmann::json::array();
     for (const auto &[name, hash] : root.parts) {
         auto value = parsePart(name, hash, texts);
-        if (!name.starts_with(OrganisationPart)) {
+        if (!name.starts_with(OrganisationPartPrefix)) {
             document[name] = std::move(value);
             continue;
         }
@@ -93,16 +93,16 @@
     return document;
 }
 
-Root nextRoot(const Root &current, const std::string &changeId, const std::string &author,
-              const std::map<std::string, std::string> &parts)
+Root makeNextRoot(const Root &current, const std::string &changeId, const std::string &author,
+                  const std::map<std::string, std::string> &parts)
 {
     Root next{current.generation + 1, changeId, author, parts, {changeId}};
     next.history.insert(next.history.end(), current.history.begin(), current.history.end());
-    next.history.resize(std::min(next.history.size(), HistoryLength));
+    next.history.resize(std::min(next.history.size(), MaxHistoryLength));
     return next;
 }
 
-std::string writeRoot(const Root &root)
+std::string serialiseRoot(const Root &root)
 {
     return nlohmann::json{{"generation", root.generation},
                           {"changeId", root.changeId},
@@ -112,7 +112,7 @@
         .dump();
 }
 
-Root readRoot(std::string_view text)
+Root parseRoot(std::string_view text)
 {
     try {
         const auto value = nlohmann::json::parse(text);
--- a/src/config/route_table.cpp
+++ b/src/config/route_table.cpp
@@ -16,41 +16,42 @@
 {
     const Route *best = nullptr;
     for (const auto &route : routes) {
-        const bool fits = core::equalIgnoringCase(route.host, host) && path.starts_with(route.pathPrefix);
-        if (fits && (best == nullptr || route.pathPrefix.size() > best->pathPrefix.size())) {
+        const bool matches = core::equalsIgnoreCase(route.host, host) && path.starts_with(route.pathPrefix);
+        if (matches && (best == nullptr || route.pathPrefix.size() > best->pathPrefix.size())) {
             best = &route;
         }
     }
     return best;
 }
 
-const Route *RouteTable::named(std::string_view name) const noexcept
+const Route *RouteTable::routeNamed(std::string_view name) const noexcept
 {
     const auto found
         = std::find_if(routes.begin(), routes.end(), [&](const Route &route) { return route.name == name; });
     return found == routes.end() ? nullptr : &*found;
 }
 
-const ServiceSpec *RouteTable::service(const std::string &name) const noexcept
+const ServiceSpec *RouteTable::serviceNamed(const std::string &name) const noexcept
 {
     const auto found = services.find(name);
     return found == services.end() ? nullptr : &found->second;
 }
 
-std::unordered_map<std::string, ShortestPauses> RouteTable::shortestPauses(core::Duration tightGap) const
+std::unordered_map<std::string, GapObjectives> RouteTable::gapObjectives(core::Duration shortGapThreshold) const
 {
-    std::unordered_map<std::string, ShortestPauses> byService;
+    std::unordered_map<std::string, GapObjectives> byService;
     for (const auto &route : routes) {
         for (const auto &share : route.services) {
-            auto &pauses = byService[share.service];
-            auto &shortest = route.gapAim < tightGap ? pauses.tight : pauses.loose;
-            shortest = std::min(shortest, route.gapAim);
+            auto &objectives = byService[share.service];
+            auto &smallestGap
+                = route.gapObjective < shortGapThreshold ? objectives.shortGapStreams : objectives.otherStreams;
+            smallestGap = std::min(smallestGap, route.gapObjective);
         }
     }
     return byService;
 }
 
-const OrganisationSpec *RouteTable::organisation(const std::string &key) const noexcept
+const OrganisationSpec *RouteTable::organisationForKey(const std::string &key) const noexcept
 {
     const auto found = organisationByKey.find(key);
     return found == organisationByKey.end() ? nullptr : &found->second;
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -22,40 +22,40 @@
     absl::MutexLock lock(&m_mutex);
     std::int64_t generation = 0;
     try {
-        const auto root = readRoot(rootText);
+        const auto root = parseRoot(rootText);
         generation = root.generation;
         if (m_current && generation <= m_current->generation) {
             return OfferResult::NotNewer;
         }
-        PartTexts needed;
+        PartTexts activeTexts;
         for (const auto &[name, hash] : root.parts) {
             auto &source = texts.contains(hash) ? texts : m_texts;
             const auto found = source.find(hash);
             if (found != source.end()) {
-                needed[hash] = found->second;
+                activeTexts[hash] = found->second;
             }
         }
         std::vector<core::Fault> faults;
-        auto next = readConfiguration(joinDocument(root, needed), generation, faults);
+        auto next = parseConfiguration(joinDocument(root, activeTexts), generation, faults);
         if (!faults.empty()) {
-            noteRefusal(generation, core::cat(faults.front().pointer, ": expected ", faults.front().expected));
+            recordRefusal(generation, core::cat(faults.front().pointer, ": expected ", faults.front().expected));
             return OfferResult::Refused;
         }
         m_current = std::move(next);
         m_rootText = rootText;
-        m_texts = std::move(needed);
+        m_texts = std::move(activeTexts);
         m_onApplied(m_current);
         return OfferResult::Applied;
     } catch (const core::InvalidDocument &error) {
-        noteRefusal(generation, error.what());
+        recordRefusal(generation, error.what());
         return OfferResult::Refused;
     }
 }
 
-void Store::noteRefusal(std::int64_t generation, std::string why)
+void Store::recordRefusal(std::int64_t generation, std::string reason)
 {
     m_refusedGeneration = std::max(m_refusedGeneration, generation);
-    m_refusal = std::move(why);
+    m_refusal = std::move(reason);
 }
 
 ConfigurationRef Store::current() const
--- a/src/control/crash_exchange.cpp
+++ b/src/control/crash_exchange.cpp
@@ -16,44 +16,44 @@
 namespace
 {
 
-constexpr std::size_t Keepers = 3; // Records are passed on as long as one of them is up.
-constexpr std::size_t EndsToTellAll = 2; // Harmless content rarely reaches two; the third quarantines.
-constexpr std::size_t MostInDatagram = 16;
-constexpr auto GossipPause = absl::Milliseconds(250);
+constexpr std::size_t AggregatorCount = 3; // Records are passed on as long as one of them is up.
+constexpr std::size_t MinCrashesToBroadcast = 2; // Harmless content rarely reaches two; the third quarantines.
+constexpr std::size_t MaxSuspectsPerDatagram = 16;
+constexpr auto GossipInterval = absl::Milliseconds(250);
 /// Suspects below the quarantine threshold are passed on for this long: the other crashes of the same content follow
 /// within moments or not at all.
-constexpr auto GossipSpan = absl::Seconds(10);
+constexpr auto GossipRetention = absl::Seconds(10);
 
-bool concernsAll(const relay::CrashSuspect &suspect)
+bool mustBroadcast(const relay::CrashSuspect &suspect)
 {
-    return suspect.mostEnds >= EndsToTellAll; // Also after a success: a quarantine may have to be lifted.
+    return suspect.maxCrashes >= MinCrashesToBroadcast; // Also after a success: a quarantine may have to be lifted.
 }
 
-std::vector<relay::CrashSuspect> forAll(const std::vector<relay::CrashSuspect> &changes)
+std::vector<relay::CrashSuspect> suspectsToBroadcast(const std::vector<relay::CrashSuspect> &changes)
 {
     std::vector<relay::CrashSuspect> suspects;
-    std::copy_if(changes.begin(), changes.end(), std::back_inserter(suspects), concernsAll);
+    std::copy_if(changes.begin(), changes.end(), std::back_inserter(suspects), mustBroadcast);
     return suspects;
 }
 
-SuspectNews newsOf(const relay::CrashSuspect &suspect, core::Time now)
+SuspectReport toReport(const relay::CrashSuspect &suspect, core::Time now)
 {
-    SuspectNews news;
-    news.work = suspect.work;
-    news.ranWellAge = now - suspect.ranWellAt;
-    for (const auto &end : suspect.ends) {
-        news.ends.push_back({end.target, now - end.at});
+    SuspectReport report;
+    report.content = suspect.content;
+    report.lastSuccessAge = now - suspect.lastSuccessAt;
+    for (const auto &crash : suspect.crashes) {
+        report.crashes.push_back({crash.target, now - crash.at});
     }
-    return news;
+    return report;
 }
 
-relay::CrashSuspect suspectOf(const SuspectNews &news, core::Time now)
+relay::CrashSuspect fromReport(const SuspectReport &report, core::Time now)
 {
     relay::CrashSuspect suspect;
-    suspect.work = news.work;
-    suspect.ranWellAt = now - news.ranWellAge;
-    for (const auto &end : news.ends) {
-        suspect.ends.push_back({end.target, now - end.age});
+    suspect.content = report.content;
+    suspect.lastSuccessAt = now - report.lastSuccessAge;
+    for (const auto &crash : report.crashes) {
+        suspect.crashes.push_back({crash.target, now - crash.age});
     }
     return suspect;
 }
@@ -65,93 +65,98 @@
     , m_send(std::move(send))
 { }
 
-std::vector<Member> CrashExchange::keepers() const
+std::vector<Member> CrashExchange::aggregators() const
 {
-    return m_context.roster.holders(Role::Scheduler, Keepers);
+    return m_context.roster.holders(Role::Scheduler, AggregatorCount);
 }
 
-bool CrashExchange::isKeeper() const
+bool CrashExchange::isAggregator() const
 {
-    const auto all = keepers();
-    return std::any_of(all.begin(), all.end(),
+    const auto aggregatorList = aggregators();
+    return std::any_of(aggregatorList.begin(), aggregatorList.end(),
                        [this](const Member &member) { return member.vm == m_context.settings.vm; });
 }
 
 void CrashExchange::sendTo(const std::vector<Member> &members, const std::vector<relay::CrashSuspect> &suspects,
                            core::Time now)
 {
-    for (std::size_t from = 0; from < suspects.size(); from += MostInDatagram) {
-        CrashNews news;
-        for (auto i = from; i < std::min(from + MostInDatagram, suspects.size()); ++i) {
-            news.suspects.push_back(newsOf(suspects[i], now));
+    for (std::size_t from = 0; from < suspects.size(); from += MaxSuspectsPerDatagram) {
+        CrashReport report;
+        for (auto i = from; i < std::min(from + MaxSuspectsPerDatagram, suspects.size()); ++i) {
+            report.suspects.push_back(toReport(suspects[i], now));
         }
         for (const auto &member : members) {
             if (member.vm != m_context.settings.vm) {
-                m_context.metrics.count(metrics::Counter::CrashNewsSent);
-                m_send(member.datagrams, news);
+                m_context.metrics.count(metrics::Counter::CrashReportsSent);
+                m_send(member.datagramAddress, report);
             }
         }
     }
 }
 
-void CrashExchange::tellChanges(core::Time now)
+void CrashExchange::publishChanges(core::Time now)
 {
     const auto changes = m_context.crashes.takeChanges();
-    sendTo(keepers(), changes, now);
-    if (isKeeper()) {
-        sendTo(m_context.roster.members(), forAll(changes), now);
+    sendTo(aggregators(), changes, now);
+    if (isAggregator()) {
+        sendTo(m_context.roster.members(), suspectsToBroadcast(changes), now);
     }
 }
 
-void CrashExchange::tellDomain(core::Time now)
+void CrashExchange::forwardToDomain(core::Time now)
 {
     const auto changes = m_context.crashes.takeChanges();
     const auto &domain = m_context.settings.failureDomain;
     if (m_context.roster.isRegistrar()) {
-        sendTo(m_context.roster.holdersIn(domain, Role::Scheduler, m_context.daemons), forAll(changes), now);
+        sendTo(m_context.roster.holdersIn(domain, Role::Scheduler, m_context.daemonCount), suspectsToBroadcast(changes),
+               now);
     }
 }
 
-void CrashExchange::take(const CrashNews &news, core::Time now)
+void CrashExchange::handleReport(const CrashReport &report, core::Time now)
 {
     auto &crashes = m_context.crashes;
     bool refuted = false;
-    for (const auto &told : news.suspects) {
-        const bool before = crashes.quarantined(told.work);
-        refuted = crashes.merge(suspectOf(told, now), now).refuted || refuted;
-        const bool after = crashes.quarantined(told.work);
-        if (before != after) {
-            core::log(core::LogLevel::Warning, after ? "work_quarantined" : "quarantine_lifted",
-                      {{"digest", core::hexText(told.work)}, {"ends", crashes.ends(told.work)}, {"from", "peer"}});
-            m_context.metrics.count(after ? metrics::Counter::WorkQuarantined : metrics::Counter::QuarantinesLifted);
+    for (const auto &suspectReport : report.suspects) {
+        const bool wasQuarantined = crashes.isQuarantined(suspectReport.content);
+        refuted = crashes.merge(fromReport(suspectReport, now), now).refuted || refuted;
+        const bool isQuarantined = crashes.isQuarantined(suspectReport.content);
+        if (wasQuarantined != isQuarantined) {
+            core::log(core::LogLevel::Warning, isQuarantined ? "work_quarantined" : "quarantine_lifted",
+                      {{"digest", core::toHex(suspectReport.content)},
+                       {"ends", crashes.crashCount(suspectReport.content)},
+                       {"from", "peer"}});
+            m_context.metrics.count(isQuarantined ? metrics::Counter::WorkQuarantined
+                                                  : metrics::Counter::QuarantinesLifted);
         }
     }
-    if (refuted || isKeeper()) {
-        tellChanges(now);
+    if (refuted || isAggregator()) {
+        publishChanges(now);
     } else {
-        tellDomain(now); // The sender knows its own domain's daemons and each other domain's registrars.
+        forwardToDomain(now); // The sender knows its own domain's daemons and each other domain's registrars.
     }
 }
 
-void CrashExchange::greet(const core::Address &datagrams, core::Time now)
+void CrashExchange::sendRecentTo(const core::Address &address, core::Time now)
 {
-    if (isKeeper() || m_context.roster.isRegistrar()) {
-        Member newcomer;
-        newcomer.datagrams = datagrams;
-        sendTo({newcomer}, m_context.crashes.recent(GossipSpan, MostInDatagram, m_context.random(), now), now);
+    if (isAggregator() || m_context.roster.isRegistrar()) {
+        Member newMember;
+        newMember.datagramAddress = address;
+        sendTo({newMember}, m_context.crashes.recent(GossipRetention, MaxSuspectsPerDatagram, m_context.random(), now),
+               now);
     }
 }
 
 void CrashExchange::gossip(core::Time now)
 {
     const auto &members = m_context.roster.members();
-    if (now - m_gossipedAt < GossipPause || members.size() < 2) {
+    if (now - m_lastGossipAt < GossipInterval || members.size() < 2) {
         return;
     }
-    m_gossipedAt = now;
-    const auto suspects = m_context.crashes.recent(GossipSpan, MostInDatagram, m_context.random(), now);
-    const auto drawn = std::uniform_int_distribution<std::size_t>(0, members.size() - 1)(m_context.random);
-    sendTo({members[drawn]}, suspects, now);
+    m_lastGossipAt = now;
+    const auto suspects = m_context.crashes.recent(GossipRetention, MaxSuspectsPerDatagram, m_context.random(), now);
+    const auto memberIndex = std::uniform_int_distribution<std::size_t>(0, members.size() - 1)(m_context.random);
+    sendTo({members[memberIndex]}, suspects, now);
 }
 
 } // namespace spurlug::control
--- a/src/control/messages.cpp
+++ b/src/control/messages.cpp
@@ -17,23 +17,23 @@
 namespace
 {
 
-using membership::clamp32;
+using membership::clampToUint32;
 
-constexpr std::uint32_t Never = std::numeric_limits<std::uint32_t>::max(); // Encodes an infinite duration.
+constexpr std::uint32_t InfiniteMs = std::numeric_limits<std::uint32_t>::max(); // Encodes an infinite duration.
 
-std::uint32_t ms32(core::Duration span)
+std::uint32_t toMs32(core::Duration duration)
 {
-    return span == absl::InfiniteDuration() ? Never : clamp32(core::toMs(span));
+    return duration == absl::InfiniteDuration() ? InfiniteMs : clampToUint32(core::toMs(duration));
 }
 
-core::Duration spanOf(std::uint32_t ms)
+core::Duration fromMs32(std::uint32_t ms)
 {
-    return ms == Never ? absl::InfiniteDuration() : core::fromMs(ms);
+    return ms == InfiniteMs ? absl::InfiniteDuration() : core::fromMs(ms);
 }
 
-std::uint32_t micros32(core::Duration span)
+std::uint32_t toMicros32(core::Duration duration)
 {
-    return clamp32(absl::ToInt64Microseconds(span));
+    return clampToUint32(absl::ToInt64Microseconds(duration));
 }
 
 template<typename Values, typename Field>
@@ -45,7 +45,7 @@
 }
 
 template<typename Field>
-void writeRates(const std::vector<targets::RateNews> &rates, Field &field)
+void writeRates(const std::vector<targets::RateReport> &rates, Field &field)
 {
     for (const auto &rate : rates) {
         membership::writeRate(rate, *field.Add());
@@ -53,9 +53,9 @@
 }
 
 template<typename Field>
-std::vector<targets::RateNews> readRates(const Field &field)
+std::vector<targets::RateReport> readRates(const Field &field)
 {
-    std::vector<targets::RateNews> rates;
+    std::vector<targets::RateReport> rates;
     for (const auto &rate : field) {
         rates.push_back(membership::readRate(rate));
     }
@@ -74,15 +74,15 @@
         membership::writeWork(work, *out.add_work());
     }
     writeAll(report.unreachable, *out.mutable_unreachable());
-    writeAll(report.leaving, *out.mutable_leaving());
+    writeAll(report.draining, *out.mutable_leaving());
     writeRates(report.rates, *out.mutable_rates());
     for (const auto &outcome : report.outcomes) {
         auto &outcomeOut = *out.add_outcomes();
         outcomeOut.set_target(outcome.target);
         outcomeOut.set_fault(outcome.fault ? static_cast<std::uint32_t>(*outcome.fault) + 1 : 0);
-        outcomeOut.set_asked_by(outcome.askedBy);
+        outcomeOut.set_asked_by(outcome.requestingEngine);
     }
-    out.set_wants_word(report.wantsWord);
+    out.set_wants_word(report.wantsAck);
 }
 
 WorkReport read(const wire::WorkReport &in)
@@ -97,180 +97,180 @@
         report.work.push_back(membership::readWork(work));
     }
     report.unreachable.assign(in.unreachable().begin(), in.unreachable().end());
-    report.leaving.assign(in.leaving().begin(), in.leaving().end());
+    report.draining.assign(in.leaving().begin(), in.leaving().end());
     report.rates = readRates(in.rates());
-    const auto last = static_cast<std::uint32_t>(relay::TargetFault::Busy);
+    const auto lastFault = static_cast<std::uint32_t>(relay::TargetFault::Busy);
     for (const auto &outcomeIn : in.outcomes()) {
         TargetOutcome outcome;
         outcome.target = outcomeIn.target();
-        outcome.askedBy = outcomeIn.asked_by();
+        outcome.requestingEngine = outcomeIn.asked_by();
         if (outcomeIn.fault() > 0) {
-            outcome.fault = static_cast<relay::TargetFault>(std::min(outcomeIn.fault() - 1, last));
+            outcome.fault = static_cast<relay::TargetFault>(std::min(outcomeIn.fault() - 1, lastFault));
         }
         report.outcomes.push_back(outcome);
     }
-    report.wantsWord = in.wants_word();
+    report.wantsAck = in.wants_word();
     return report;
 }
 
-void write(const ReportTaken &taken, wire::ControlDatagram &datagram)
+void write(const ReportAck &ack, wire::ControlDatagram &datagram)
 {
-    datagram.mutable_report_taken()->set_vm(taken.vm);
+    datagram.mutable_report_taken()->set_vm(ack.vm);
 }
 
-void write(const PlacementAsk &ask, wire::ControlDatagram &datagram)
+void write(const PlacementRequest &request, wire::ControlDatagram &datagram)
 {
     auto &out = *datagram.mutable_ask();
-    out.set_vm(ask.vm);
-    out.set_failure_domain(ask.failureDomain);
-    out.set_ask(ask.ask);
-    out.set_service(ask.service);
-    out.set_prompt_tokens(clamp32(ask.prompt.promptTokens));
-    out.set_answer_tokens(clamp32(ask.prompt.mostAnswerTokens));
-    out.set_aim_ms(ms32(ask.aim));
-    out.set_tight(ask.tight);
-    out.set_waited_ms(ms32(ask.waited));
-    out.set_patience_ms(ms32(ask.patience));
-    out.set_priority(clamp32(ask.priority));
-    writeAll(ask.notAt, *out.mutable_not_at());
-    writeAll(ask.onlyAt, *out.mutable_only_at());
-    writeAll(ask.unwanted, *out.mutable_unwanted());
-    writeRates(ask.rates, *out.mutable_rates());
-    out.set_at_home(ask.atHome);
-    out.set_near_helpers(ask.nearHelpers);
+    out.set_vm(request.vm);
+    out.set_failure_domain(request.failureDomain);
+    out.set_ask(request.requestNumber);
+    out.set_service(request.service);
+    out.set_prompt_tokens(clampToUint32(request.prompt.promptTokens));
+    out.set_answer_tokens(clampToUint32(request.prompt.maxAnswerTokens));
+    out.set_aim_ms(toMs32(request.ttftObjective));
+    out.set_tight(request.shortGaps);
+    out.set_waited_ms(toMs32(request.waited));
+    out.set_patience_ms(toMs32(request.callerTimeout));
+    out.set_priority(clampToUint32(request.priority));
+    writeAll(request.excludedTargets, *out.mutable_not_at());
+    writeAll(request.allowedTargets, *out.mutable_only_at());
+    writeAll(request.avoidedTargets, *out.mutable_unwanted());
+    writeRates(request.rates, *out.mutable_rates());
+    out.set_at_home(request.localDomainOnly);
+    out.set_near_helpers(request.localHelpersOnly);
 }
 
-PlacementAsk read(const wire::PlacementAsk &in)
+PlacementRequest read(const wire::PlacementAsk &in)
 {
-    PlacementAsk ask;
-    ask.vm = in.vm();
-    ask.failureDomain = in.failure_domain();
-    ask.ask = in.ask();
-    ask.service = in.service();
-    ask.prompt = {in.prompt_tokens(), in.answer_tokens()};
-    ask.aim = spanOf(in.aim_ms());
-    ask.tight = in.tight();
-    ask.waited = spanOf(in.waited_ms());
-    ask.patience = spanOf(in.patience_ms());
-    ask.priority = static_cast<int>(std::min<std::uint32_t>(in.priority(), std::numeric_limits<int>::max()));
-    ask.notAt.assign(in.not_at().begin(), in.not_at().end());
-    ask.onlyAt.assign(in.only_at().begin(), in.only_at().end());
-    ask.unwanted.assign(in.unwanted().begin(), in.unwanted().end());
-    ask.rates = readRates(in.rates());
-    ask.atHome = in.at_home();
-    ask.nearHelpers = in.near_helpers();
-    return ask;
+    PlacementRequest request;
+    request.vm = in.vm();
+    request.failureDomain = in.failure_domain();
+    request.requestNumber = in.ask();
+    request.service = in.service();
+    request.prompt = {in.prompt_tokens(), in.answer_tokens()};
+    request.ttftObjective = fromMs32(in.aim_ms());
+    request.shortGaps = in.tight();
+    request.waited = fromMs32(in.waited_ms());
+    request.callerTimeout = fromMs32(in.patience_ms());
+    request.priority = static_cast<int>(std::min<std::uint32_t>(in.priority(), std::numeric_limits<int>::max()));
+    request.excludedTargets.assign(in.not_at().begin(), in.not_at().end());
+    request.allowedTargets.assign(in.only_at().begin(), in.only_at().end());
+    request.avoidedTargets.assign(in.unwanted().begin(), in.unwanted().end());
+    request.rates = readRates(in.rates());
+    request.localDomainOnly = in.at_home();
+    request.localHelpersOnly = in.near_helpers();
+    return request;
 }
 
-void write(const PlacementAnswer &answer, wire::ControlDatagram &datagram)
+void write(const PlacementReply &reply, wire::ControlDatagram &datagram)
 {
     auto &out = *datagram.mutable_answer();
-    out.set_vm(answer.vm);
-    out.set_ask(answer.ask);
-    out.set_kind(static_cast<std::uint32_t>(answer.kind));
-    out.set_grant(answer.grant);
-    out.set_target(answer.target);
-    writeAll(answer.helpers, *out.mutable_helpers());
-    for (const auto tokens : answer.holdingTokens) {
-        out.add_holding_tokens(clamp32(tokens));
+    out.set_vm(reply.vm);
+    out.set_ask(reply.requestNumber);
+    out.set_kind(static_cast<std::uint32_t>(reply.kind));
+    out.set_grant(reply.grantNumber);
+    out.set_target(reply.target);
+    writeAll(reply.helpers, *out.mutable_helpers());
+    for (const auto tokens : reply.reservedTokens) {
+        out.add_holding_tokens(clampToUint32(tokens));
     }
-    out.set_expected_us(micros32(answer.expected));
-    out.set_part_us(micros32(answer.partRead));
+    out.set_expected_us(toMicros32(reply.expectedTtft));
+    out.set_part_us(toMicros32(reply.partPrefillTime));
 }
 
-PlacementAnswer read(const wire::PlacementAnswer &in)
+PlacementReply read(const wire::PlacementAnswer &in)
 {
-    PlacementAnswer answer;
-    answer.vm = in.vm();
-    answer.ask = in.ask();
-    const auto last = static_cast<std::uint32_t>(AnswerKind::NotHere);
-    answer.kind = static_cast<AnswerKind>(std::min(in.kind(), last));
-    answer.grant = in.grant();
-    answer.target = in.target();
-    answer.helpers.assign(in.helpers().begin(), in.helpers().end());
-    answer.holdingTokens.assign(in.holding_tokens().begin(), in.holding_tokens().end());
-    answer.expected = absl::Microseconds(in.expected_us());
-    answer.partRead = absl::Microseconds(in.part_us());
-    return answer;
+    PlacementReply reply;
+    reply.vm = in.vm();
+    reply.requestNumber = in.ask();
+    const auto last = static_cast<std::uint32_t>(ReplyKind::Declined);
+    reply.kind = static_cast<ReplyKind>(std::min(in.kind(), last));
+    reply.grantNumber = in.grant();
+    reply.target = in.target();
+    reply.helpers.assign(in.helpers().begin(), in.helpers().end());
+    reply.reservedTokens.assign(in.holding_tokens().begin(), in.holding_tokens().end());
+    reply.expectedTtft = absl::Microseconds(in.expected_us());
+    reply.partPrefillTime = absl::Microseconds(in.part_us());
+    return reply;
 }
 
 void write(const PlacementCancel &cancel, wire::ControlDatagram &datagram)
 {
     datagram.mutable_cancel()->set_vm(cancel.vm);
-    datagram.mutable_cancel()->set_ask(cancel.ask);
+    datagram.mutable_cancel()->set_ask(cancel.requestNumber);
 }
 
-void write(const ProofQuestion &question, wire::ControlDatagram &datagram)
+void write(const FreshnessQuery &query, wire::ControlDatagram &datagram)
 {
-    datagram.mutable_question()->set_number(question.number);
+    datagram.mutable_question()->set_number(query.number);
 }
 
-void write(const ProofAnswer &answer, wire::ControlDatagram &datagram)
+void write(const FreshnessReply &reply, wire::ControlDatagram &datagram)
 {
     auto &out = *datagram.mutable_proof();
-    out.set_number(answer.number);
-    out.set_vm(answer.vm);
-    out.set_version(static_cast<std::uint64_t>(answer.version));
-    out.set_proof_ms(ms32(answer.proofAge));
-    out.set_contact_ms(ms32(answer.contactAge));
-    out.set_targets_era(static_cast<std::uint64_t>(answer.targetsPosition.era));
-    out.set_targets_revision(static_cast<std::uint64_t>(answer.targetsPosition.revision));
-    out.set_targets_ms(ms32(answer.targetsAge));
-    out.set_regained_ms(ms32(answer.regainedAge));
-    out.set_evacuations_era(static_cast<std::uint64_t>(answer.evacuations.position.era));
-    out.set_evacuations_revision(static_cast<std::uint64_t>(answer.evacuations.position.revision));
-    for (const auto &domain : answer.evacuations.domains) {
+    out.set_number(reply.number);
+    out.set_vm(reply.vm);
+    out.set_version(static_cast<std::uint64_t>(reply.version));
+    out.set_proof_ms(toMs32(reply.proofAge));
+    out.set_contact_ms(toMs32(reply.directoryContactAge));
+    out.set_targets_era(static_cast<std::uint64_t>(reply.targetsPosition.era));
+    out.set_targets_revision(static_cast<std::uint64_t>(reply.targetsPosition.revision));
+    out.set_targets_ms(toMs32(reply.targetsAge));
+    out.set_regained_ms(toMs32(reply.directoryRecoveryAge));
+    out.set_evacuations_era(static_cast<std::uint64_t>(reply.evacuations.position.era));
+    out.set_evacuations_revision(static_cast<std::uint64_t>(reply.evacuations.position.revision));
+    for (const auto &domain : reply.evacuations.domains) {
         out.add_evacuated(domain);
     }
 }
 
-ProofAnswer read(const wire::ProofAnswer &in)
+FreshnessReply read(const wire::ProofAnswer &in)
 {
-    ProofAnswer answer;
-    answer.number = in.number();
-    answer.vm = in.vm();
-    answer.version = static_cast<std::int64_t>(in.version());
-    answer.proofAge = spanOf(in.proof_ms());
-    answer.contactAge = spanOf(in.contact_ms());
-    answer.targetsPosition
+    FreshnessReply reply;
+    reply.number = in.number();
+    reply.vm = in.vm();
+    reply.version = static_cast<std::int64_t>(in.version());
+    reply.proofAge = fromMs32(in.proof_ms());
+    reply.directoryContactAge = fromMs32(in.contact_ms());
+    reply.targetsPosition
         = {static_cast<std::int64_t>(in.targets_era()), static_cast<std::int64_t>(in.targets_revision())};
-    answer.targetsAge = spanOf(in.targets_ms());
-    answer.regainedAge = spanOf(in.regained_ms());
-    answer.evacuations.position
+    reply.targetsAge = fromMs32(in.targets_ms());
+    reply.directoryRecoveryAge = fromMs32(in.regained_ms());
+    reply.evacuations.position
         = {static_cast<std::int64_t>(in.evacuations_era()), static_cast<std::int64_t>(in.evacuations_revision())};
-    answer.evacuations.domains.insert(in.evacuated().begin(), in.evacuated().end());
-    return answer;
+    reply.evacuations.domains.insert(in.evacuated().begin(), in.evacuated().end());
+    return reply;
 }
 
-void write(const CrashNews &news, wire::ControlDatagram &datagram)
+void write(const CrashReport &report, wire::ControlDatagram &datagram)
 {
     auto &out = *datagram.mutable_crashes();
-    for (const auto &suspect : news.suspects) {
+    for (const auto &suspect : report.suspects) {
         auto &suspectOut = *out.add_suspects();
-        suspectOut.set_work_high(suspect.work.high);
-        suspectOut.set_work_low(suspect.work.low);
-        for (const auto &end : suspect.ends) {
+        suspectOut.set_work_high(suspect.content.high);
+        suspectOut.set_work_low(suspect.content.low);
+        for (const auto &end : suspect.crashes) {
             auto &endOut = *suspectOut.add_ends();
             endOut.set_target(end.target);
-            endOut.set_age_ms(ms32(end.age));
+            endOut.set_age_ms(toMs32(end.age));
         }
-        suspectOut.set_ran_well_ms(ms32(suspect.ranWellAge));
+        suspectOut.set_ran_well_ms(toMs32(suspect.lastSuccessAge));
     }
 }
 
-CrashNews read(const wire::CrashNews &in)
+CrashReport read(const wire::CrashNews &in)
 {
-    CrashNews news;
+    CrashReport report;
     for (const auto &suspectIn : in.suspects()) {
-        SuspectNews suspect;
-        suspect.work = {suspectIn.work_high(), suspectIn.work_low()};
+        SuspectReport suspect;
+        suspect.content = {suspectIn.work_high(), suspectIn.work_low()};
         for (const auto &endIn : suspectIn.ends()) {
-            suspect.ends.push_back({endIn.target(), spanOf(endIn.age_ms())});
+            suspect.crashes.push_back({endIn.target(), fromMs32(endIn.age_ms())});
         }
-        suspect.ranWellAge = spanOf(suspectIn.ran_well_ms());
-        news.suspects.push_back(std::move(suspect));
+        suspect.lastSuccessAge = fromMs32(suspectIn.ran_well_ms());
+        report.suspects.push_back(std::move(suspect));
     }
-    return news;
+    return report;
 }
 
 } // namespace
@@ -293,7 +293,7 @@
     case Kind::kReport:
         return read(in.report());
     case Kind::kReportTaken:
-        return ReportTaken{in.report_taken().vm()};
+        return ReportAck{in.report_taken().vm()};
     case Kind::kAsk:
         return read(in.ask());
     case Kind::kAnswer:
@@ -301,7 +301,7 @@
     case Kind::kCancel:
         return PlacementCancel{in.cancel().vm(), in.cancel().ask()};
     case Kind::kQuestion:
-        return ProofQuestion{in.question().number()};
+        return FreshnessQuery{in.question().number()};
     case Kind::kProof:
         return read(in.proof());
     case Kind::kCrashes:
--- a/src/control/roster.cpp
+++ b/src/control/roster.cpp
@@ -22,9 +22,9 @@
 
 Rank rankOf(const Member &member, Role role)
 {
-    const bool serves = role != Role::Scheduler || member.state == membership::DaemonState::Serving;
-    const auto ordered = role == Role::Registrar ? Role::Scheduler : role;
-    return {serves, member.processorShare, core::rendezvousWeight(core::nameOf(ordered), member.vm)};
+    const bool preferred = role != Role::Scheduler || member.state == membership::DaemonState::Serving;
+    const auto rankingRole = role == Role::Registrar ? Role::Scheduler : role;
+    return {preferred, member.processorShare, core::rendezvousWeight(core::nameOf(rankingRole), member.vm)};
 }
 
 } // namespace
@@ -39,42 +39,43 @@
 }
 
 template<typename Wanted>
-std::vector<Member> Roster::ranked(Role role, std::size_t most, Wanted wanted) const
+std::vector<Member> Roster::rankedMembers(Role role, std::size_t maxCount, Wanted accepts) const
 {
-    std::vector<std::pair<Rank, const Member *>> order;
+    std::vector<std::pair<Rank, const Member *>> candidates;
     for (const auto &member : m_members) {
-        const bool leaves = member.state == membership::DaemonState::Leaving;
-        if (!leaves && wanted(member)) {
-            order.emplace_back(rankOf(member, role), &member);
+        const bool isLeaving = member.state == membership::DaemonState::Draining;
+        if (!isLeaving && accepts(member)) {
+            candidates.emplace_back(rankOf(member, role), &member);
         }
     }
-    const auto count = std::min(most, order.size());
-    std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count), order.end(),
+    const auto count = std::min(maxCount, candidates.size());
+    std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(count), candidates.end(),
                       [](const auto &left, const auto &right) { return left.first > right.first; });
     std::vector<Member> holders;
     for (std::size_t i = 0; i < count; ++i) {
-        holders.push_back(*order[i].second);
+        holders.push_back(*candidates[i].second);
     }
     return holders;
 }
 
-std::vector<Member> Roster::holders(Role role, std::size_t most) const
+std::vector<Member> Roster::holders(Role role, std::size_t maxCount) const
 {
-    return ranked(role, most, [](const Member &) { return true; });
+    return rankedMembers(role, maxCount, [](const Member &) { return true; });
 }
 
-std::vector<Member> Roster::holdersIn(const std::string &failureDomain, Role role, std::size_t most) const
+std::vector<Member> Roster::holdersIn(const std::string &failureDomain, Role role, std::size_t maxCount) const
 {
-    return ranked(role, most, [&failureDomain](const Member &member) { return member.failureDomain == failureDomain; });
+    return rankedMembers(role, maxCount,
+                         [&failureDomain](const Member &member) { return member.failureDomain == failureDomain; });
 }
 
-bool Roster::holdsAtHome(Role role, std::size_t most) const
+bool Roster::holdsLocally(Role role, std::size_t maxCount) const
 {
-    const auto *own = find(m_self);
-    if (own == nullptr) {
+    const auto *ownMember = find(m_self);
+    if (ownMember == nullptr) {
         return true; // No members are known yet, so this daemon performs the role for itself.
     }
-    const auto holders = holdersIn(own->failureDomain, role, most);
+    const auto holders = holdersIn(ownMember->failureDomain, role, maxCount);
     return std::any_of(holders.begin(), holders.end(), [this](const Member &member) { return member.vm == m_self; });
 }
 
