--- a/src/control/scheduler.cpp
+++ b/src/control/scheduler.cpp
@@ -20,17 +20,17 @@
 {
 
 /// A daemon with work reports at least every half second; three lost reports in a row mean that it is gone.
-constexpr auto ReportLife = absl::Milliseconds(1600);
+constexpr auto ReportTtl = absl::Milliseconds(1600);
 /// A grant whose work is not reported within this time was not used, or its daemon is gone.
-constexpr auto GrantLife = absl::Milliseconds(800);
-constexpr auto AskLife = absl::Milliseconds(500); ///< Daemons repeat queued requests every 150 ms.
+constexpr auto GrantTtl = absl::Milliseconds(800);
+constexpr auto QueuedRequestTtl = absl::Milliseconds(500); ///< Daemons repeat queued requests every 150 ms.
 /// After this many consecutive requests found no engine, the rest of their kind (with or without the need for short
 /// gaps) is left for the next round: they differ little, and each attempt costs some tens of us.
-constexpr int MostVainLooks = 4;
-constexpr auto LoadAge = absl::Milliseconds(20); ///< Network transit and processing delay at both ends.
+constexpr int MaxFailedPlacements = 4;
+constexpr auto AssumedLoadAge = absl::Milliseconds(20); ///< Network transit and processing delay at both ends.
 
 /// Key under which the work of a grant is recorded, next to the VM names of reporting daemons.
-std::string grantName(std::uint64_t number)
+std::string grantKey(std::uint64_t number)
 {
     return core::cat("grant ", number);
 }
@@ -41,281 +41,286 @@
     : m_context(context)
 { }
 
-void Scheduler::onWaiting(std::function<void()> notify)
+void Scheduler::setQueuedCallback(std::function<void()> callback)
 {
-    m_notifyWaiting = std::move(notify);
+    m_onQueued = std::move(callback);
 }
 
-bool Scheduler::schedules(const std::string &service) const
+bool Scheduler::canSchedule(const std::string &service) const
 {
     if (m_context.draining || !m_context.table) {
         return false;
     }
-    const auto *spec = m_context.table->service(service);
+    const auto *spec = m_context.table->serviceNamed(service);
     return spec != nullptr && spec->engine;
 }
 
-void Scheduler::report(const WorkReport &report, core::Time now)
+void Scheduler::applyReport(const WorkReport &report, core::Time now)
 {
-    auto &heard = m_heard[report.vm];
-    const auto known = std::tie(heard.incarnation, heard.sequence);
+    auto &state = m_reportStates[report.vm];
+    const auto known = std::tie(state.incarnation, state.sequence);
     if (std::tie(report.incarnation, report.sequence) <= known) {
         return;
     }
-    heard = {report.incarnation, report.sequence, now};
-    const auto domain = domainOf(report.failureDomain);
-    m_context.targets.peerWork(report.vm, report.work, now);
-    m_context.metrics.count(metrics::Counter::WorkReportsTaken);
+    state = {report.incarnation, report.sequence, now};
+    const auto domain = domainOrOwn(report.failureDomain);
+    m_context.targets.setPeerWork(report.vm, report.work, now);
+    m_context.metrics.count(metrics::Counter::WorkReportsReceived);
     for (auto grant = m_grants.begin(); grant != m_grants.end();) {
-        const bool told = grant->second.vm == report.vm && grant->first <= report.newestGrant;
-        grant = told ? forget(grant) : std::next(grant);
+        const bool covered = grant->second.vm == report.vm && grant->first <= report.newestGrant;
+        grant = covered ? removeGrant(grant) : std::next(grant);
     }
-    for (const auto &target : m_context.targets.peerReport(report.unreachable, now)) {
+    for (const auto &target : m_context.targets.notePeerReport(report.unreachable, now)) {
         core::log(core::LogLevel::Info, "target_reported",
                   {{"target", target->entry.id}, {"by", report.vm}, {"reported", report.unreachable.size()}});
     }
-    relay::takeLeavingNews(m_context, report.leaving, report.vm);
-    relay::takeRateNews(m_context, report.rates, report.vm, now);
+    relay::applyDrainingReports(m_context, report.draining, report.vm);
+    relay::applyRateReports(m_context, report.rates, report.vm, now);
     for (const auto &outcome : report.outcomes) {
-        takeOutcome(outcome, domain, now);
+        applyOutcome(outcome, domain, now);
     }
 }
 
-const std::string &Scheduler::domainOf(const std::string &told) const
+const std::string &Scheduler::domainOrOwn(const std::string &domain) const
 {
-    return told.empty() ? m_context.settings.failureDomain : told;
+    return domain.empty() ? m_context.settings.failureDomain : domain;
 }
 
-void Scheduler::noteLink(const TargetOutcome &outcome, const std::string &domain, core::Time now)
+void Scheduler::recordLinkOutcome(const TargetOutcome &outcome, const std::string &requesterDomain, core::Time now)
 {
-    const auto target = m_context.targets.withHash(outcome.target);
-    const auto asker = outcome.askedBy != 0 ? m_context.targets.withHash(outcome.askedBy) : nullptr;
-    if (outcome.askedBy != 0 && !asker) {
+    const auto target = m_context.targets.findByHash(outcome.target);
+    const auto requester
+        = outcome.requestingEngine != 0 ? m_context.targets.findByHash(outcome.requestingEngine) : nullptr;
+    if (outcome.requestingEngine != 0 && !requester) {
         return; // The engine that asked is gone.
     }
-    const auto &from = asker ? asker->entry.failureDomain : domain;
+    const auto &from = requester ? requester->entry.failureDomain : requesterDomain;
     const auto &to = target->entry.failureDomain;
-    const bool unanswered = outcome.fault == relay::TargetFault::Unreachable;
+    const bool unreachable = outcome.fault == relay::TargetFault::Unreachable;
     if (!outcome.fault) {
-        m_context.links.reached(from, to);
-    } else if (unanswered || asker) {
-        m_context.links.failed(from, to, outcome.target, now);
+        m_context.links.noteSuccess(from, to);
+    } else if (unreachable || requester) {
+        m_context.links.noteFailure(from, to, outcome.target, now);
     }
 }
 
-void Scheduler::noteHelp(relay::Target &target, const TargetOutcome &outcome, core::Time now)
+void Scheduler::recordHelpOutcome(relay::Target &target, const TargetOutcome &outcome, core::Time now)
 {
     if (!outcome.fault) {
-        target.helpPause.accepted();
+        target.helpBackoff.noteSuccess();
         return;
     }
-    target.helpPause.refused(now);
-    if (*outcome.fault == relay::TargetFault::Silent) {
-        target.health.failed(*outcome.fault, m_context.ejection, now);
+    target.helpBackoff.noteRefusal(now);
+    if (*outcome.fault == relay::TargetFault::Timeout) {
+        target.health.noteFailure(*outcome.fault, m_context.ejection, now);
     }
 }
 
-void Scheduler::takeOutcome(const TargetOutcome &outcome, const std::string &domain, core::Time now)
+void Scheduler::applyOutcome(const TargetOutcome &outcome, const std::string &requesterDomain, core::Time now)
 {
-    const auto target = m_context.targets.withHash(outcome.target);
+    const auto target = m_context.targets.findByHash(outcome.target);
     if (!target) {
         return;
     }
-    noteLink(outcome, domain, now);
-    if (outcome.askedBy != 0) {
-        noteHelp(*target, outcome, now);
+    recordLinkOutcome(outcome, requesterDomain, now);
+    if (outcome.requestingEngine != 0) {
+        recordHelpOutcome(*target, outcome, now);
         return;
     }
     if (!outcome.fault) {
-        target->health.succeeded(now);
+        target->health.noteSuccess(now);
     } else if (*outcome.fault == relay::TargetFault::Busy) {
-        target->fullPause.refused(now);
+        target->refusalBackoff.noteRefusal(now);
     } else {
-        target->health.failed(*outcome.fault, m_context.ejection, now);
+        target->health.noteFailure(*outcome.fault, m_context.ejection, now);
     }
 }
 
-Scheduler::Grants::iterator Scheduler::forget(Grants::iterator grant)
+Scheduler::Grants::iterator Scheduler::removeGrant(Grants::iterator grant)
 {
-    m_context.targets.forgetPeer(grantName(grant->first));
+    m_context.targets.removePeer(grantKey(grant->first));
     return m_grants.erase(grant);
 }
 
-PlacementAnswer Scheduler::ask(const PlacementAsk &ask, core::Time now)
+PlacementReply Scheduler::handleRequest(const PlacementRequest &ask, core::Time now)
 {
-    PlacementAnswer answer;
-    answer.vm = m_context.settings.vm;
-    answer.ask = ask.ask;
-    if (!schedules(ask.service)) {
-        return answer;
+    PlacementReply reply;
+    reply.vm = m_context.settings.vm;
+    reply.requestNumber = ask.requestNumber;
+    if (!canSchedule(ask.service)) {
+        return reply;
     }
-    relay::takeRateNews(m_context, ask.rates, ask.vm, now);
+    relay::applyRateReports(m_context, ask.rates, ask.vm, now);
     for (const auto &[number, grant] : m_grants) {
-        if (grant.vm == ask.vm && grant.answer.ask == ask.ask) {
-            return grant.answer;
+        if (grant.vm == ask.vm && grant.reply.requestNumber == ask.requestNumber) {
+            return grant.reply;
         }
     }
-    const auto known = std::find_if(m_waiting.begin(), m_waiting.end(), [&ask](const Waiting &waiting) {
-        return waiting.ask.vm == ask.vm && waiting.ask.ask == ask.ask;
+    const auto known = std::find_if(m_queue.begin(), m_queue.end(), [&ask](const QueuedRequest &waiting) {
+        return waiting.request.vm == ask.vm && waiting.request.requestNumber == ask.requestNumber;
     });
-    answer.kind = AnswerKind::Queued;
-    if (known != m_waiting.end()) {
-        known->heardAt = now;
-        known->ask = ask; // The daemon's list of unwanted targets may have changed.
-        return answer;
+    reply.kind = ReplyKind::Queued;
+    if (known != m_queue.end()) {
+        known->lastReceivedAt = now;
+        known->request = ask; // The daemon's list of unwanted targets may have changed.
+        return reply;
     }
     if (auto granted = place(ask, now - ask.waited, now)) {
         return *granted;
     }
-    m_waiting.push_back({ask, now - ask.waited, now});
-    m_context.metrics.count(metrics::Counter::AsksQueued);
-    m_notifyWaiting();
-    return answer;
+    m_queue.push_back({ask, now - ask.waited, now});
+    m_context.metrics.count(metrics::Counter::PlacementRequestsQueued);
+    m_onQueued();
+    return reply;
 }
 
-core::Duration Scheduler::timeToSpare(const Waiting &waiting, core::Time now) const
+core::Duration Scheduler::slackTime(const QueuedRequest &queued, core::Time now) const
 {
-    const auto &ask = waiting.ask;
-    const auto *spec = m_context.table->service(ask.service);
+    const auto &request = queued.request;
+    const auto *spec = m_context.table->serviceNamed(request.service);
     if (spec == nullptr || !spec->engine) {
         return absl::ZeroDuration(); // The configuration changed; the reply to a repeated request says so.
     }
-    const auto parts = ask.tight ? 1 : m_context.settings.placement.mostHelpers + 1;
-    const auto reading = relay::partMs(*spec->engine, ask.prompt.promptTokens, static_cast<std::size_t>(parts));
-    return waiting.arrivedAt + ask.aim - now - absl::Milliseconds(reading);
+    const auto engines = request.shortGaps ? 1 : m_context.settings.placement.mostHelpers + 1;
+    const auto prefillMs
+        = relay::prefillPartMs(*spec->engine, request.prompt.promptTokens, static_cast<std::size_t>(engines));
+    return queued.arrivedAt + request.ttftObjective - now - absl::Milliseconds(prefillMs);
 }
 
-void Scheduler::sortWaiting(core::Time now)
+void Scheduler::sortQueue(core::Time now)
 {
-    const auto orderOf = [this, now](const Waiting &waiting) {
-        const auto spare = timeToSpare(waiting, now);
-        const bool late = spare < absl::ZeroDuration();
-        return std::make_tuple(waiting.ask.priority, late, !waiting.ask.tight, spare);
+    const auto orderOf = [this, now](const QueuedRequest &waiting) {
+        const auto slack = slackTime(waiting, now);
+        const bool late = slack < absl::ZeroDuration();
+        return std::make_tuple(waiting.request.priority, late, !waiting.request.shortGaps, slack);
     };
-    using Order = decltype(orderOf(m_waiting.front()));
-    std::vector<std::pair<Order, Waiting>> ordered;
-    ordered.reserve(m_waiting.size());
-    for (auto &waiting : m_waiting) {
+    using Order = decltype(orderOf(m_queue.front()));
+    std::vector<std::pair<Order, QueuedRequest>> ordered;
+    ordered.reserve(m_queue.size());
+    for (auto &waiting : m_queue) {
         auto order = orderOf(waiting);
         ordered.emplace_back(std::move(order), std::move(waiting));
     }
     std::stable_sort(ordered.begin(), ordered.end(),
                      [](const auto &left, const auto &right) { return left.first < right.first; });
-    m_waiting.clear();
+    m_queue.clear();
     for (auto &[order, waiting] : ordered) {
-        m_waiting.push_back(std::move(waiting));
+        m_queue.push_back(std::move(waiting));
     }
 }
 
-std::optional<PlacementAnswer> Scheduler::place(const PlacementAsk &ask, core::Time arrivedAt, core::Time now)
+std::optional<PlacementReply> Scheduler::place(const PlacementRequest &placementRequest, core::Time arrivedAt,
+                                               core::Time now)
 {
     relay::PromptRequest request;
-    request.prompt = ask.prompt;
-    request.aim = ask.aim;
-    request.tight = ask.tight;
+    request.prompt = placementRequest.prompt;
+    request.ttftObjective = placementRequest.ttftObjective;
+    request.shortGaps = placementRequest.shortGaps;
     request.waited = now - arrivedAt;
-    request.mayQueue = relay::mayQueueAfter(request.waited, ask.aim);
-    request.patience = ask.patience;
-    if (const auto found = m_context.pauses.find(ask.service); found != m_context.pauses.end()) {
-        request.pauses = found->second;
+    request.mayQueue = relay::mayQueueAtEngine(request.waited, placementRequest.ttftObjective);
+    request.callerTimeout = placementRequest.callerTimeout;
+    if (const auto found = m_context.pauses.find(placementRequest.service); found != m_context.pauses.end()) {
+        request.toleratedGaps = found->second;
     }
-    request.loadAge = LoadAge;
+    request.loadAge = AssumedLoadAge;
     relay::TargetQuery query;
-    query.service = ask.service;
+    query.service = placementRequest.service;
     query.prompt = request;
-    query.notAt = ask.notAt;
-    if (!ask.onlyAt.empty()) {
-        query.onlyAt = ask.onlyAt;
+    query.excludedTargets = placementRequest.excludedTargets;
+    if (!placementRequest.allowedTargets.empty()) {
+        query.allowedTargets = placementRequest.allowedTargets;
     }
-    query.unwanted = ask.unwanted;
-    query.atHome = ask.atHome;
-    query.forFleet = true;
-    query.nearHelpers = ask.nearHelpers;
-    query.from = domainOf(ask.failureDomain);
+    query.avoidedTargets = placementRequest.avoidedTargets;
+    query.localDomainOnly = placementRequest.localDomainOnly;
+    query.forScheduler = true;
+    query.localHelpersOnly = placementRequest.localHelpersOnly;
+    query.senderDomain = domainOrOwn(placementRequest.failureDomain);
     const auto chosen = relay::chooseTargets(m_context, query, now);
     if (!chosen) {
         return std::nullopt;
     }
-    PlacementAnswer answer;
-    answer.vm = m_context.settings.vm;
-    answer.ask = ask.ask;
-    answer.kind = AnswerKind::Granted;
-    answer.grant = ++m_newestGrant;
-    answer.target = chosen->target->hash;
+    PlacementReply reply;
+    reply.vm = m_context.settings.vm;
+    reply.requestNumber = placementRequest.requestNumber;
+    reply.kind = ReplyKind::Granted;
+    reply.grantNumber = ++m_newestGrant;
+    reply.target = chosen->target->hash;
     for (const auto &helper : chosen->helpers) {
-        answer.helpers.push_back(helper->hash);
+        reply.helpers.push_back(helper->hash);
     }
-    answer.holdingTokens = chosen->holdingTokens;
-    answer.expected = chosen->expected;
-    answer.partRead = chosen->partRead;
+    reply.reservedTokens = chosen->reservedTokens;
+    reply.expectedTtft = chosen->expectedTtft;
+    reply.partPrefillTime = chosen->partPrefillTime;
     std::vector<targets::TargetWork> works;
-    for (const auto &[target, work] : relay::workOf(*chosen, ask.prompt)) {
-        works.push_back({target->hash, work, absl::ToInt64Microseconds(chosen->expected)});
+    for (const auto &[target, work] : relay::addedWork(*chosen, placementRequest.prompt)) {
+        works.push_back({target->hash, work, absl::ToInt64Microseconds(chosen->expectedTtft)});
     }
-    works.back().work.tightRequests = ask.tight ? 1 : 0;
-    m_context.targets.peerWork(grantName(answer.grant), works, now);
-    m_grants[answer.grant] = {answer, ask.vm, now};
+    works.back().work.shortGapRequests = placementRequest.shortGaps ? 1 : 0;
+    m_context.targets.setPeerWork(grantKey(reply.grantNumber), works, now);
+    m_grants[reply.grantNumber] = {reply, placementRequest.vm, now};
     m_context.metrics.count(metrics::Counter::PlacementsGranted);
-    return answer;
+    return reply;
 }
 
 void Scheduler::cancel(const PlacementCancel &cancel)
 {
-    std::erase_if(m_waiting, [&cancel](const Waiting &waiting) {
-        return waiting.ask.vm == cancel.vm && waiting.ask.ask == cancel.ask;
+    std::erase_if(m_queue, [&cancel](const QueuedRequest &waiting) {
+        return waiting.request.vm == cancel.vm && waiting.request.requestNumber == cancel.requestNumber;
     });
     for (auto grant = m_grants.begin(); grant != m_grants.end();) {
-        const bool meant = grant->second.vm == cancel.vm && grant->second.answer.ask == cancel.ask;
-        grant = meant ? forget(grant) : std::next(grant);
+        const bool matches = grant->second.vm == cancel.vm && grant->second.reply.requestNumber == cancel.requestNumber;
+        grant = matches ? removeGrant(grant) : std::next(grant);
     }
 }
 
-void Scheduler::begun(std::uint64_t grant)
+void Scheduler::noteGrantUsed(std::uint64_t grant)
 {
     const auto found = m_grants.find(grant);
     if (found != m_grants.end()) {
-        forget(found);
+        removeGrant(found);
     }
 }
 
-std::vector<std::pair<std::string, PlacementAnswer>> Scheduler::serveWaiting(core::Time now)
+std::vector<std::pair<std::string, PlacementReply>> Scheduler::placeQueued(core::Time now)
 {
-    std::vector<std::pair<std::string, PlacementAnswer>> grants;
-    if (m_waiting.empty() || !m_context.table) {
+    std::vector<std::pair<std::string, PlacementReply>> grants;
+    if (m_queue.empty() || !m_context.table) {
         return grants;
     }
-    sortWaiting(now);
-    int vainTight = 0;
-    int vainLoose = 0;
-    bool someInTimeWait = false; // A request that tolerates longer gaps found no engine, but can still be in time.
-    for (auto waiting = m_waiting.begin(); waiting != m_waiting.end();) {
-        const bool late = timeToSpare(*waiting, now) < absl::ZeroDuration();
-        auto &vain = waiting->ask.tight ? vainTight : vainLoose;
-        const bool stepsBack = late && !waiting->ask.tight && someInTimeWait;
-        auto answer = vain >= MostVainLooks || stepsBack ? std::optional<PlacementAnswer>()
-                                                         : place(waiting->ask, waiting->arrivedAt, now);
-        if (!answer) {
-            ++vain;
-            someInTimeWait = someInTimeWait || (!late && !waiting->ask.tight);
-            ++waiting;
+    sortQueue(now);
+    int failedShortGaps = 0;
+    int failedLongGaps = 0;
+    bool inTimeRequestWaiting
+        = false; // A request that tolerates longer gaps found no engine, but can still be in time.
+    for (auto queued = m_queue.begin(); queued != m_queue.end();) {
+        const bool late = slackTime(*queued, now) < absl::ZeroDuration();
+        auto &failures = queued->request.shortGaps ? failedShortGaps : failedLongGaps;
+        const bool deferred = late && !queued->request.shortGaps && inTimeRequestWaiting;
+        auto reply = failures >= MaxFailedPlacements || deferred ? std::optional<PlacementReply>()
+                                                                 : place(queued->request, queued->arrivedAt, now);
+        if (!reply) {
+            ++failures;
+            inTimeRequestWaiting = inTimeRequestWaiting || (!late && !queued->request.shortGaps);
+            ++queued;
             continue;
         }
-        vain = 0;
-        grants.emplace_back(waiting->ask.vm, std::move(*answer));
-        waiting = m_waiting.erase(waiting);
+        failures = 0;
+        grants.emplace_back(queued->request.vm, std::move(*reply));
+        queued = m_queue.erase(queued);
     }
     return grants;
 }
 
-void Scheduler::forgetSilent(core::Time now)
+void Scheduler::removeExpired(core::Time now)
 {
-    std::erase_if(m_waiting, [now](const Waiting &waiting) { return now - waiting.heardAt > AskLife; });
+    std::erase_if(m_queue,
+                  [now](const QueuedRequest &waiting) { return now - waiting.lastReceivedAt > QueuedRequestTtl; });
     for (auto grant = m_grants.begin(); grant != m_grants.end();) {
-        grant = now - grant->second.grantedAt > GrantLife ? forget(grant) : std::next(grant);
+        grant = now - grant->second.grantedAt > GrantTtl ? removeGrant(grant) : std::next(grant);
     }
-    for (auto &[vm, heard] : m_heard) {
-        if (now - heard.at > ReportLife) {
-            m_context.targets.forgetPeer(vm);
+    for (auto &[vm, heard] : m_reportStates) {
+        if (now - heard.receivedAt > ReportTtl) {
+            m_context.targets.removePeer(vm);
         }
     }
 }
--- a/src/control/scheduler_client.cpp
+++ b/src/control/scheduler_client.cpp
@@ -19,54 +19,56 @@
 {
 
 /// Transit between failure domains and processing at the scheduler take some ms; datagrams are lost occasionally.
-constexpr auto AskAgainAfter = absl::Milliseconds(30);
+constexpr auto RetryInterval = absl::Milliseconds(30);
 /// A scheduler that answered neither of two requests by then is suspected. This is a fifth of the shortest time within
 /// which the first event of a prompt should come.
-constexpr auto SuspectAfter = absl::Milliseconds(80);
-constexpr auto RepeatQueued = absl::Milliseconds(150); ///< Keeps a request queued; it expires there after 500 ms.
-constexpr auto ProbeEvery = absl::Milliseconds(500); ///< Interval of probes to a suspected scheduler.
-constexpr auto SuspectedFor = absl::Seconds(10); ///< It is used again then, in case its acknowledgements were lost.
-constexpr std::size_t InTheFleet = 2; ///< Schedulers of the whole fleet that are tried in turn.
-constexpr std::size_t Deputies = 2; ///< Schedulers of this failure domain that are tried after those.
+constexpr auto SchedulerTimeout = absl::Milliseconds(80);
+constexpr auto QueuedRepeatInterval
+    = absl::Milliseconds(150); ///< Keeps a request queued; it expires there after 500 ms.
+constexpr auto ProbeInterval = absl::Milliseconds(500); ///< Interval of probes to a suspected scheduler.
+constexpr auto SuspicionTtl = absl::Seconds(10); ///< It is used again then, in case its acknowledgements were lost.
+constexpr std::size_t FleetCandidates = 2; ///< Schedulers of the whole fleet that are tried in turn.
+constexpr std::size_t LocalCandidates = 2; ///< Schedulers of this failure domain that are tried after those.
 /// After this many unresponsive schedulers, the daemon places the request itself: each costs the request 80 ms.
-constexpr int MostSilent = 2;
+constexpr int MaxUnresponsive = 2;
 
 /// Interval between reports while there is work. It grows with the number of daemons that report to one scheduler.
-constexpr auto ReportPauseForEach = absl::Milliseconds(1);
-constexpr auto ShortestReportPause = absl::Milliseconds(50);
-constexpr auto LongestReportPause = absl::Milliseconds(500);
+constexpr auto ReportIntervalPerDaemon = absl::Milliseconds(1);
+constexpr auto MinReportInterval = absl::Milliseconds(50);
+constexpr auto MaxReportInterval = absl::Milliseconds(500);
 /// Delay of a report after a change, so that changes in quick succession share one report.
-constexpr auto ChangePauseForEach = absl::Microseconds(30);
-constexpr auto ShortestChangePause = absl::Milliseconds(2);
-constexpr std::size_t MostOutcomes = 64; ///< Maximum in one report.
-constexpr std::size_t MostExcluded = 32; ///< Maximum length of each of the lists `notAt` and `onlyAt` of a request.
+constexpr auto ChangeDelayPerDaemon = absl::Microseconds(30);
+constexpr auto MinChangeDelay = absl::Milliseconds(2);
+constexpr std::size_t MaxOutcomes = 64; ///< Maximum in one report.
+constexpr std::size_t MaxListedTargets
+    = 32; ///< Maximum length of each of the lists `excludedTargets` and `allowedTargets` of a request.
 /// Maximum length of the list `unwanted` of a request: 1 KB, which fits into a datagram. A grant of an unwanted target
 /// beyond the list is rejected.
-constexpr std::size_t MostUnwanted = 256;
+constexpr std::size_t MaxAvoidedTargets = 256;
 /// Placement requests that are cancelled after an unwanted grant before the daemon places the caller's request itself.
-constexpr int MostWithdrawn = 3;
+constexpr int MaxCancelledRequests = 3;
 /// Maximum of draining targets in a report. A release drains a few at a time, and their entries follow within a second.
-constexpr std::size_t MostLeavingTold = 32;
-constexpr std::size_t MostRatesTold = 32; ///< Maximum of target rates in a placement request or a report: 0.5 KB.
+constexpr std::size_t MaxReportedDraining = 32;
+constexpr std::size_t MaxReportedRates = 32; ///< Maximum of target rates in a placement request or a report: 0.5 KB.
 
-std::vector<std::uint32_t> firstOf(std::vector<std::uint32_t> hashes, std::size_t most)
+std::vector<std::uint32_t> firstOf(std::vector<std::uint32_t> hashes, std::size_t maxCount)
 {
-    hashes.resize(std::min(hashes.size(), most));
+    hashes.resize(std::min(hashes.size(), maxCount));
     return hashes;
 }
 
 } // namespace
 
-SchedulerClient::SchedulerClient(relay::RelayContext &context, Scheduler &own, Send send)
+SchedulerClient::SchedulerClient(relay::RelayContext &context, Scheduler &ownScheduler, Send send)
     : m_context(context)
-    , m_own(own)
+    , m_ownScheduler(ownScheduler)
     , m_send(std::move(send))
-    , m_changes(context.loop)
+    , m_changeMailbox(context.loop)
     , m_incarnation(static_cast<std::uint64_t>(absl::ToUnixNanos(absl::Now())))
-    , m_newestAsk(context.random() >> 1U) // Schedulers may still know placement requests of a previous run.
+    , m_newestRequest(context.random() >> 1U) // Schedulers may still know placement requests of a previous run.
 { }
 
-bool SchedulerClient::suspected(const std::string &vm) const
+bool SchedulerClient::isSuspected(const std::string &vm) const
 {
     return m_suspects.contains(vm);
 }
@@ -77,75 +79,75 @@
         return std::nullopt;
     }
     const auto &roster = m_context.roster;
-    for (const auto &member : roster.holders(Role::Scheduler, InTheFleet)) {
-        if (!suspected(member.vm)) {
+    for (const auto &member : roster.holders(Role::Scheduler, FleetCandidates)) {
+        if (!isSuspected(member.vm)) {
             return ChosenScheduler{member, false};
         }
     }
-    for (const auto &member : roster.holdersIn(m_context.settings.failureDomain, Role::Scheduler, Deputies)) {
-        if (!suspected(member.vm)) {
+    for (const auto &member : roster.holdersIn(m_context.settings.failureDomain, Role::Scheduler, LocalCandidates)) {
+        if (!isSuspected(member.vm)) {
             return ChosenScheduler{member, true};
         }
     }
     return std::nullopt;
 }
 
-std::uint64_t SchedulerClient::open(core::Ref<relay::RequestInbox> inbox)
+std::uint64_t SchedulerClient::openRequest(core::Ref<relay::RequestInbox> inbox)
 {
-    m_asks[++m_newestAsk] = std::move(inbox);
-    return m_newestAsk;
+    m_openRequests[++m_newestRequest] = std::move(inbox);
+    return m_newestRequest;
 }
 
-void SchedulerClient::send(const PlacementAsk &ask, const ChosenScheduler &scheduler, core::Time now)
+void SchedulerClient::sendRequest(const PlacementRequest &request, const ChosenScheduler &scheduler, core::Time now)
 {
-    m_context.metrics.count(metrics::Counter::AsksSent);
+    m_context.metrics.count(metrics::Counter::PlacementRequestsSent);
     if (scheduler.member.vm == m_context.settings.vm) {
-        m_askedAt.erase(ask.ask);
-        take(m_own.ask(ask, now), now);
+        m_lastSentTo.erase(request.requestNumber);
+        handleReply(m_ownScheduler.handleRequest(request, now), now);
         return;
     }
     if (m_lastScheduler != scheduler.member.vm) {
         m_lastScheduler = scheduler.member.vm;
         m_newestGrant = 0;
-        m_send(scheduler.member.datagrams, compose(now)); // It may not know this daemon's work.
+        m_send(scheduler.member.datagramAddress, composeReport(now)); // It may not know this daemon's work.
     }
-    m_askedAt[ask.ask] = scheduler.member.datagrams;
-    m_send(scheduler.member.datagrams, ask);
+    m_lastSentTo[request.requestNumber] = scheduler.member.datagramAddress;
+    m_send(scheduler.member.datagramAddress, request);
 }
 
-void SchedulerClient::close(std::uint64_t ask, bool needed)
+void SchedulerClient::closeRequest(std::uint64_t requestNumber, bool grantUsed)
 {
-    m_asks.erase(ask);
-    const auto asked = m_askedAt.extract(ask);
-    if (needed) {
+    m_openRequests.erase(requestNumber);
+    const auto asked = m_lastSentTo.extract(requestNumber);
+    if (grantUsed) {
         return;
     }
-    const PlacementCancel cancel{m_context.settings.vm, ask};
-    m_own.cancel(cancel);
+    const PlacementCancel cancel{m_context.settings.vm, requestNumber};
+    m_ownScheduler.cancel(cancel);
     if (!asked.empty()) {
         m_send(asked.mapped(), cancel);
     }
 }
 
-void SchedulerClient::take(const PlacementAnswer &answer, core::Time now)
+void SchedulerClient::handleReply(const PlacementReply &reply, core::Time now)
 {
-    if (answer.kind == AnswerKind::NotHere) {
-        suspect(answer.vm, "it cannot schedule the service", now);
+    if (reply.kind == ReplyKind::Declined) {
+        suspect(reply.vm, "it cannot schedule the service", now);
     } else {
-        trust(answer.vm, now);
+        clearSuspicion(reply.vm, now);
     }
-    const auto asked = m_asks.find(answer.ask);
-    if (asked != m_asks.end()) {
-        asked->second->events.post(relay::PlacementArrived{answer});
+    const auto request = m_openRequests.find(reply.requestNumber);
+    if (request != m_openRequests.end()) {
+        request->second->events.post(relay::PlacementArrived{reply});
     }
 }
 
-void SchedulerClient::begun(const PlacementAnswer &answer)
+void SchedulerClient::noteGrantUsed(const PlacementReply &reply)
 {
-    if (answer.vm == m_context.settings.vm) {
-        m_own.begun(answer.grant);
-    } else if (answer.vm == m_lastScheduler) {
-        m_newestGrant = std::max(m_newestGrant, answer.grant);
+    if (reply.vm == m_context.settings.vm) {
+        m_ownScheduler.noteGrantUsed(reply.grantNumber);
+    } else if (reply.vm == m_lastScheduler) {
+        m_newestGrant = std::max(m_newestGrant, reply.grantNumber);
     }
 }
 
@@ -158,7 +160,7 @@
     core::log(core::LogLevel::Warning, "scheduler_left_aside", {{"vm", vm}, {"reason", reason}});
 }
 
-void SchedulerClient::trust(const std::string &vm, core::Time now)
+void SchedulerClient::clearSuspicion(const std::string &vm, core::Time now)
 {
     const auto suspicion = m_suspects.extract(vm);
     if (!suspicion.empty()) {
@@ -167,22 +169,22 @@
     }
 }
 
-void SchedulerClient::workChanged()
+void SchedulerClient::noteWorkChanged()
 {
-    if (!m_changed) {
-        m_changed = true;
-        m_changes.post(Changed{});
+    if (!m_changePending) {
+        m_changePending = true;
+        m_changeMailbox.post(WorkChanged{});
     }
 }
 
-void SchedulerClient::outcome(const TargetOutcome &outcome)
+void SchedulerClient::queueOutcome(const TargetOutcome &outcome)
 {
-    if (m_outcomes.size() < MostOutcomes) {
+    if (m_outcomes.size() < MaxOutcomes) {
         m_outcomes.push_back(outcome);
     }
 }
 
-WorkReport SchedulerClient::compose(core::Time now)
+WorkReport SchedulerClient::composeReport(core::Time now)
 {
     WorkReport report;
     report.vm = m_context.settings.vm;
@@ -190,65 +192,65 @@
     report.incarnation = m_incarnation;
     report.sequence = ++m_sequence;
     report.newestGrant = m_newestGrant;
-    report.work = m_context.targets.ownWork(now);
-    report.unreachable = m_context.targets.unreachable(now);
-    report.leaving = relay::leavingNews(m_context, MostLeavingTold);
-    report.rates = relay::rateNews(m_context, MostRatesTold, now);
+    report.work = m_context.targets.localWork(now);
+    report.unreachable = m_context.targets.unreachableTargets(now);
+    report.draining = relay::drainingReports(m_context, MaxReportedDraining);
+    report.rates = relay::rateReports(m_context, MaxReportedRates, now);
     report.outcomes = std::exchange(m_outcomes, {});
     m_context.metrics.count(metrics::Counter::WorkReportsSent);
     return report;
 }
 
-void SchedulerClient::report(core::Time now)
+void SchedulerClient::sendReport(core::Time now)
 {
-    m_changed = false;
+    m_changePending = false;
     const auto chosen = scheduler();
     if (!chosen || chosen->member.vm == m_context.settings.vm) {
         m_outcomes.clear();
         return;
     }
-    auto report = compose(now);
-    const bool news = !report.work.empty() || m_reportedWork || !report.outcomes.empty();
-    m_reportedWork = !report.work.empty();
-    if (news) {
+    auto report = composeReport(now);
+    const bool hasContent = !report.work.empty() || m_lastReportHadWork || !report.outcomes.empty();
+    m_lastReportHadWork = !report.work.empty();
+    if (hasContent) {
         m_lastScheduler = chosen->member.vm;
-        m_send(chosen->member.datagrams, std::move(report));
+        m_send(chosen->member.datagramAddress, std::move(report));
     }
 }
 
 void SchedulerClient::probeSuspects(core::Time now)
 {
     std::erase_if(m_suspects, [&](const auto &item) {
-        return now - item.second.since > SuspectedFor || m_context.roster.find(item.first) == nullptr;
+        return now - item.second.since > SuspicionTtl || m_context.roster.find(item.first) == nullptr;
     });
     for (auto &[vm, suspicion] : m_suspects) {
-        if (now - suspicion.probedAt < ProbeEvery || vm == m_context.settings.vm) {
+        if (now - suspicion.probedAt < ProbeInterval || vm == m_context.settings.vm) {
             continue;
         }
         suspicion.probedAt = now;
-        auto report = compose(now);
-        report.wantsWord = true;
-        m_send(m_context.roster.find(vm)->datagrams, std::move(report));
+        auto report = composeReport(now);
+        report.wantsAck = true;
+        m_send(m_context.roster.find(vm)->datagramAddress, std::move(report));
     }
 }
 
-core::Duration SchedulerClient::interval() const
+core::Duration SchedulerClient::reportInterval() const
 {
-    const auto pause = ReportPauseForEach * static_cast<double>(m_context.daemons);
-    return std::clamp(core::Duration(pause), core::Duration(ShortestReportPause), core::Duration(LongestReportPause));
+    const auto interval = ReportIntervalPerDaemon * static_cast<double>(m_context.daemonCount);
+    return std::clamp(core::Duration(interval), core::Duration(MinReportInterval), core::Duration(MaxReportInterval));
 }
 
 net::Task<> SchedulerClient::reportWork()
 {
     for (;;) {
-        const auto span = m_reportedWork ? interval() : core::Duration(LongestReportPause);
-        const auto change = co_await m_changes.take(core::now() + span);
+        const auto timeout = m_lastReportHadWork ? reportInterval() : core::Duration(MaxReportInterval);
+        const auto change = co_await m_changeMailbox.take(core::now() + timeout);
         if (change) {
-            const auto pause = ChangePauseForEach * static_cast<double>(m_context.daemons);
-            co_await net::sleepFor(std::max(core::Duration(pause), core::Duration(ShortestChangePause)));
+            const auto delay = ChangeDelayPerDaemon * static_cast<double>(m_context.daemonCount);
+            co_await net::sleepFor(std::max(core::Duration(delay), core::Duration(MinChangeDelay)));
         }
         const auto now = core::now();
-        report(now);
+        sendReport(now);
         probeSuspects(now);
     }
 }
@@ -262,121 +264,122 @@
 
 PlacementSession::~PlacementSession()
 {
-    if (m_ask != 0) {
-        m_client->close(m_ask, m_granted);
+    if (m_requestNumber != 0) {
+        m_client->closeRequest(m_requestNumber, m_granted);
     }
 }
 
-bool PlacementSession::pursue(const relay::TargetQuery &query, int priority, core::Time now)
+bool PlacementSession::sendIfDue(const relay::TargetQuery &query, int priority, core::Time now)
 {
-    if (m_client == nullptr || m_unusable || m_silent >= MostSilent || !query.prompt) {
+    if (m_client == nullptr || m_grantUnusable || m_unresponsiveCount >= MaxUnresponsive || !query.prompt) {
         return false;
     }
     auto scheduler = m_client->scheduler();
-    const bool silent
-        = !m_queued && scheduler && scheduler->member.vm == m_scheduler && now - m_askedAt >= SuspectAfter;
-    if (silent) {
-        m_client->suspect(m_scheduler, "it does not answer", now);
-        ++m_silent;
-        scheduler = m_silent < MostSilent ? m_client->scheduler() : std::nullopt;
+    const bool timedOut
+        = !m_queued && scheduler && scheduler->member.vm == m_schedulerVm && now - m_requestedAt >= SchedulerTimeout;
+    if (timedOut) {
+        m_client->suspect(m_schedulerVm, "it does not answer", now);
+        ++m_unresponsiveCount;
+        scheduler = m_unresponsiveCount < MaxUnresponsive ? m_client->scheduler() : std::nullopt;
     }
     if (!scheduler) {
         return false;
     }
-    if (scheduler->member.vm != m_scheduler || now >= m_dueAt) {
-        sendTo(*scheduler, query, priority, now);
+    if (scheduler->member.vm != m_schedulerVm || now >= m_nextDueAt) {
+        sendRequest(*scheduler, query, priority, now);
     }
     return true;
 }
 
-void PlacementSession::sendTo(const ChosenScheduler &scheduler, const relay::TargetQuery &query, int priority,
-                              core::Time now)
+void PlacementSession::sendRequest(const ChosenScheduler &scheduler, const relay::TargetQuery &query, int priority,
+                                   core::Time now)
 {
-    if (m_ask == 0) {
-        m_ask = m_client->open(m_inbox);
+    if (m_requestNumber == 0) {
+        m_requestNumber = m_client->openRequest(m_inbox);
     }
-    if (scheduler.member.vm != m_scheduler) {
-        m_scheduler = scheduler.member.vm;
-        m_askedAt = now;
+    if (scheduler.member.vm != m_schedulerVm) {
+        m_schedulerVm = scheduler.member.vm;
+        m_requestedAt = now;
         m_queued = false;
     } else if (m_queued) {
         m_queued = false; // It must confirm the queueing again.
-        m_askedAt = now;
+        m_requestedAt = now;
     }
-    PlacementAsk ask;
-    ask.vm = m_context.settings.vm;
-    ask.failureDomain = m_context.settings.failureDomain;
-    ask.ask = m_ask;
-    ask.service = query.service;
-    ask.prompt = query.prompt->prompt;
-    ask.aim = query.prompt->aim;
-    ask.tight = query.prompt->tight;
-    ask.waited = query.prompt->waited;
-    ask.patience = query.prompt->patience;
-    ask.priority = priority;
-    ask.notAt = firstOf(query.notAt, MostExcluded);
-    ask.onlyAt = firstOf(query.onlyAt.value_or(std::vector<std::uint32_t>()), MostExcluded);
-    ask.unwanted = firstOf(query.unwanted, MostUnwanted);
-    ask.rates = relay::rateNews(m_context, MostRatesTold, now);
-    ask.atHome = scheduler.deputy;
-    ask.nearHelpers = query.nearHelpers;
-    m_dueAt = now + AskAgainAfter;
-    m_client->send(ask, scheduler, now);
+    PlacementRequest request;
+    request.vm = m_context.settings.vm;
+    request.failureDomain = m_context.settings.failureDomain;
+    request.requestNumber = m_requestNumber;
+    request.service = query.service;
+    request.prompt = query.prompt->prompt;
+    request.ttftObjective = query.prompt->ttftObjective;
+    request.shortGaps = query.prompt->shortGaps;
+    request.waited = query.prompt->waited;
+    request.callerTimeout = query.prompt->callerTimeout;
+    request.priority = priority;
+    request.excludedTargets = firstOf(query.excludedTargets, MaxListedTargets);
+    request.allowedTargets = firstOf(query.allowedTargets.value_or(std::vector<std::uint32_t>()), MaxListedTargets);
+    request.avoidedTargets = firstOf(query.avoidedTargets, MaxAvoidedTargets);
+    request.rates = relay::rateReports(m_context, MaxReportedRates, now);
+    request.localDomainOnly = scheduler.fallback;
+    request.localHelpersOnly = query.localHelpersOnly;
+    m_nextDueAt = now + RetryInterval;
+    m_client->sendRequest(request, scheduler, now);
 }
 
-void PlacementSession::withdraw()
+void PlacementSession::cancelRequest()
 {
-    ++m_withdrawn;
-    m_client->close(m_ask, false);
-    m_ask = 0;
+    ++m_cancelledCount;
+    m_client->closeRequest(m_requestNumber, false);
+    m_requestNumber = 0;
     m_queued = false;
-    m_askedAt = absl::InfinitePast();
-    m_scheduler.clear();
-    m_dueAt = absl::InfinitePast();
+    m_requestedAt = absl::InfinitePast();
+    m_schedulerVm.clear();
+    m_nextDueAt = absl::InfinitePast();
 }
 
-std::optional<relay::ChosenTargets> PlacementSession::take(const PlacementAnswer &answer, core::Time now)
+std::optional<relay::ChosenTargets> PlacementSession::handleReply(const PlacementReply &reply, core::Time now)
 {
-    if (answer.ask != m_ask || answer.kind == AnswerKind::NotHere) {
+    if (reply.requestNumber != m_requestNumber || reply.kind == ReplyKind::Declined) {
         return std::nullopt;
     }
-    if (answer.kind == AnswerKind::Queued) {
+    if (reply.kind == ReplyKind::Queued) {
         m_queued = true;
-        m_dueAt = now + RepeatQueued;
+        m_nextDueAt = now + QueuedRepeatInterval;
         return std::nullopt;
     }
     const auto usable = [&](std::uint32_t hash) -> core::Ref<relay::Target> {
-        auto target = m_context.targets.withHash(hash);
-        return target && !relay::unwantedNow(*target, now) ? target : nullptr;
+        auto target = m_context.targets.findByHash(hash);
+        return target && !relay::reasonToAvoid(*target, now) ? target : nullptr;
     };
-    const auto unwanted = m_context.targets.unwantedHere(now);
-    const auto granted = m_context.targets.withHash(answer.target);
-    const bool crossed = relay::contains(unwanted, answer.target) || (granted && granted->evacuated());
-    if (m_withdrawn < MostWithdrawn && crossed) {
-        withdraw(); // The target became unwanted after the request was sent; the next one names it.
+    const auto unwanted = m_context.targets.avoidedTargets(now);
+    const auto granted = m_context.targets.findByHash(reply.target);
+    const bool avoided = relay::contains(unwanted, reply.target) || (granted && granted->isEvacuated());
+    if (m_cancelledCount < MaxCancelledRequests && avoided) {
+        cancelRequest(); // The target became unwanted after the request was sent; the next one names it.
         return std::nullopt;
     }
     relay::ChosenTargets chosen;
-    chosen.target = usable(answer.target);
-    bool whole = chosen.target != nullptr;
-    for (std::size_t i = 0; i < answer.helpers.size(); ++i) {
-        auto helper = usable(answer.helpers[i]);
-        const bool holdsMemory = i < answer.holdingTokens.size();
-        whole = whole && (helper || !holdsMemory);
+    chosen.target = usable(reply.target);
+    bool complete = chosen.target != nullptr;
+    for (std::size_t i = 0; i < reply.helpers.size(); ++i) {
+        auto helper = usable(reply.helpers[i]);
+        const bool reservesMemory = i < reply.reservedTokens.size();
+        complete = complete && (helper || !reservesMemory);
         if (helper) {
             chosen.helpers.push_back(std::move(helper));
         }
     }
-    if (!whole) {
-        m_unusable = true; // The scheduler's target list differs in age from this daemon's.
-        core::log(core::LogLevel::Info, "grant_unusable", {{"scheduler", answer.vm}, {"grant", answer.grant}});
+    if (!complete) {
+        m_grantUnusable = true; // The scheduler's target list differs in age from this daemon's.
+        core::log(core::LogLevel::Info, "grant_unusable", {{"scheduler", reply.vm}, {"grant", reply.grantNumber}});
         return std::nullopt;
     }
-    chosen.holdingTokens = answer.holdingTokens;
+    chosen.reservedTokens = reply.reservedTokens;
     // The remaining engines prefill the parts of helpers that this daemon cannot use.
-    const auto longer = static_cast<double>(answer.helpers.size() + 1) / static_cast<double>(chosen.helpers.size() + 1);
-    chosen.expected = answer.expected + answer.partRead * (longer - 1);
-    chosen.partRead = answer.partRead * longer;
+    const auto partScale
+        = static_cast<double>(reply.helpers.size() + 1) / static_cast<double>(chosen.helpers.size() + 1);
+    chosen.expectedTtft = reply.expectedTtft + reply.partPrefillTime * (partScale - 1);
+    chosen.partPrefillTime = reply.partPrefillTime * partScale;
     m_granted = true;
     return chosen;
 }
--- a/src/core/hash.cpp
+++ b/src/core/hash.cpp
@@ -24,7 +24,7 @@
     return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
 
-std::string contentHash(std::string_view bytes)
+std::string sha256Hex(std::string_view bytes)
 {
     std::array<unsigned char, SHA256_DIGEST_LENGTH> digest{};
     SHA256(reinterpret_cast<const unsigned char *>(bytes.data()), bytes.size(), digest.data());
@@ -48,12 +48,12 @@
     return digest;
 }
 
-std::string hexText(const Digest &digest)
+std::string toHex(const Digest &digest)
 {
     return absl::StrFormat("%016x%016x", digest.high, digest.low);
 }
 
-std::string keyedHash(std::string_view key, std::string_view bytes)
+std::string hmacSha256(std::string_view key, std::string_view bytes)
 {
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
     unsigned int size = 0;
--- a/src/core/http_status.cpp
+++ b/src/core/http_status.cpp
@@ -33,13 +33,13 @@
     case Reason::LongPrompts:
         return TooManyRequests;
     case Reason::TargetFailed:
-    case Reason::StreamCut:
+    case Reason::StreamInterrupted:
     case Reason::NotRepeatable:
         return BadGateway;
     case Reason::DeadlinePassed:
         return GatewayTimeout;
     default:
-        return Unavailable;
+        return ServiceUnavailable;
     }
 }
 
--- a/src/core/json_reader.cpp
+++ b/src/core/json_reader.cpp
@@ -13,158 +13,159 @@
 {
 
 ObjectReader::ObjectReader(const nlohmann::json &value, std::string pointer, std::vector<Fault> &faults,
-                           OtherMembers others)
+                           UnknownMembers unknownMembers)
     : m_value(value)
     , m_pointer(std::move(pointer))
     , m_faults(faults)
-    , m_others(others)
+    , m_unknownMembers(unknownMembers)
 {
     if (!m_value.is_object()) {
         m_faults.push_back({m_pointer, "an object"});
     }
 }
 
-const nlohmann::json *ObjectReader::find(const std::string &key, bool required)
+const nlohmann::json *ObjectReader::findMember(const std::string &key, bool required)
 {
-    m_known.insert(key);
+    m_requestedKeys.insert(key);
     if (!m_value.is_object()) {
         return nullptr;
     }
-    const auto found = m_value.find(key);
-    if (found != m_value.end()) {
-        return &*found;
+    const auto member = m_value.find(key);
+    if (member != m_value.end()) {
+        return &*member;
     }
     if (required) {
-        fault(key, "a value (it is missing)");
+        addFault(key, "a value (it is missing)");
     }
     return nullptr;
 }
 
-std::string ObjectReader::text(const std::string &key)
+std::string ObjectReader::string(const std::string &key)
 {
-    const auto *value = find(key, true);
+    const auto *value = findMember(key, true);
     if (value == nullptr) {
         return {};
     }
     if (!value->is_string() || value->get_ref<const std::string &>().empty()) {
-        fault(key, "a non-empty string");
+        addFault(key, "a non-empty string");
         return {};
     }
     return *value;
 }
 
-std::string ObjectReader::text(const std::string &key, const std::string &fallback)
+std::string ObjectReader::string(const std::string &key, const std::string &defaultValue)
 {
-    return find(key, false) == nullptr ? fallback : text(key);
+    return findMember(key, false) == nullptr ? defaultValue : string(key);
 }
 
-std::int64_t ObjectReader::integer(const std::string &key, std::int64_t least, std::int64_t most)
+std::int64_t ObjectReader::integer(const std::string &key, std::int64_t min, std::int64_t max)
 {
-    const auto *value = find(key, true);
+    const auto *value = findMember(key, true);
     if (value == nullptr) {
-        return least;
+        return min;
     }
-    if (!value->is_number_integer() || *value < least || *value > most) {
-        fault(key, cat("an integer from ", least, " to ", most));
-        return least;
+    if (!value->is_number_integer() || *value < min || *value > max) {
+        addFault(key, cat("an integer from ", min, " to ", max));
+        return min;
     }
     return *value;
 }
 
-std::int64_t ObjectReader::integer(const std::string &key, std::int64_t least, std::int64_t most, std::int64_t fallback)
+std::int64_t ObjectReader::integer(const std::string &key, std::int64_t min, std::int64_t max,
+                                   std::int64_t defaultValue)
 {
-    return find(key, false) == nullptr ? fallback : integer(key, least, most);
+    return findMember(key, false) == nullptr ? defaultValue : integer(key, min, max);
 }
 
-double ObjectReader::number(const std::string &key, double least, double most, double fallback)
+double ObjectReader::number(const std::string &key, double min, double max, double defaultValue)
 {
-    const auto *value = find(key, false);
+    const auto *value = findMember(key, false);
     if (value == nullptr) {
-        return fallback;
+        return defaultValue;
     }
-    if (!value->is_number() || *value < least || *value > most) {
-        fault(key, cat("a number from ", least, " to ", most));
-        return fallback;
+    if (!value->is_number() || *value < min || *value > max) {
+        addFault(key, cat("a number from ", min, " to ", max));
+        return defaultValue;
     }
     return *value;
 }
 
-bool ObjectReader::flag(const std::string &key, bool fallback)
+bool ObjectReader::boolean(const std::string &key, bool defaultValue)
 {
-    const auto *value = find(key, false);
+    const auto *value = findMember(key, false);
     if (value == nullptr) {
-        return fallback;
+        return defaultValue;
     }
     if (!value->is_boolean()) {
-        fault(key, "true or false");
-        return fallback;
+        addFault(key, "true or false");
+        return defaultValue;
     }
     return *value;
 }
 
-std::vector<std::string> ObjectReader::texts(const std::string &key)
+std::vector<std::string> ObjectReader::strings(const std::string &key)
 {
-    std::vector<std::string> all;
-    const auto *value = find(key, false);
+    std::vector<std::string> values;
+    const auto *value = findMember(key, false);
     if (value == nullptr) {
-        return all;
+        return values;
     }
     if (!value->is_array()) {
-        fault(key, "an array of strings");
-        return all;
+        addFault(key, "an array of strings");
+        return values;
     }
     for (const auto &item : *value) {
         if (item.is_string()) {
-            all.push_back(item);
+            values.push_back(item);
         } else {
-            fault(key, "an array of strings");
+            addFault(key, "an array of strings");
         }
     }
-    return all;
+    return values;
 }
 
-void ObjectReader::objects(const std::string &key, const Visit &visit)
+void ObjectReader::forEachObject(const std::string &key, const Visitor &visitor)
 {
-    const auto *value = find(key, false);
+    const auto *value = findMember(key, false);
     if (value == nullptr) {
         return;
     }
     if (!value->is_array()) {
-        fault(key, "an array of objects");
+        addFault(key, "an array of objects");
         return;
     }
     std::size_t index = 0;
     for (const auto &item : *value) {
-        ObjectReader reader(item, cat(m_pointer, "/", key, "/", index++), m_faults, m_others);
-        visit(reader);
-        reader.rejectOthers();
+        ObjectReader reader(item, cat(m_pointer, "/", key, "/", index++), m_faults, m_unknownMembers);
+        visitor(reader);
+        reader.rejectUnknownMembers();
     }
 }
 
-void ObjectReader::object(const std::string &key, const Visit &visit)
+void ObjectReader::visitObject(const std::string &key, const Visitor &visitor)
 {
-    const auto *value = find(key, false);
+    const auto *value = findMember(key, false);
     if (value == nullptr) {
         return;
     }
-    ObjectReader reader(*value, cat(m_pointer, "/", key), m_faults, m_others);
-    visit(reader);
-    reader.rejectOthers();
+    ObjectReader reader(*value, cat(m_pointer, "/", key), m_faults, m_unknownMembers);
+    visitor(reader);
+    reader.rejectUnknownMembers();
 }
 
-void ObjectReader::rejectOthers()
+void ObjectReader::rejectUnknownMembers()
 {
-    if (!m_value.is_object() || m_others == OtherMembers::Ignored) {
+    if (!m_value.is_object() || m_unknownMembers == UnknownMembers::Accepted) {
         return;
     }
     for (const auto &[key, value] : m_value.items()) {
-        if (!m_known.contains(key)) {
-            fault(key, "nothing (the key is unknown)");
+        if (!m_requestedKeys.contains(key)) {
+            addFault(key, "nothing (the key is unknown)");
         }
     }
 }
 
-void ObjectReader::fault(const std::string &key, std::string expected)
+void ObjectReader::addFault(const std::string &key, std::string expected)
 {
     m_faults.push_back({cat(m_pointer, "/", key), std::move(expected)});
 }
--- a/src/core/line_queue.cpp
+++ b/src/core/line_queue.cpp
@@ -13,28 +13,28 @@
 namespace
 {
 
-constexpr auto ExitWait = absl::Milliseconds(300); // Maximum time to write the last lines when a process ends.
+constexpr auto FlushTimeout = absl::Milliseconds(300); // Maximum time to write the last lines when a process ends.
 
 } // namespace
 
-LineQueue::LineQueue(std::function<void(const std::string &)> write, std::size_t mostBytes)
-    : m_mostBytes(mostBytes)
+LineQueue::LineQueue(std::function<void(const std::string &)> write, std::size_t maxBytes)
+    : m_maxBytes(maxBytes)
     , m_state(std::make_shared<State>())
-    , m_writer([state = m_state, write = std::move(write)] { writeAll(state, write); })
+    , m_writer([state = m_state, write = std::move(write)] { runWriter(state, write); })
 { }
 
 LineQueue::~LineQueue()
 {
-    bool done = false;
+    bool flushed = false;
     {
         absl::MutexLock lock(&m_state->mutex);
         m_state->stopping = true;
-        const auto written = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_state->mutex) {
+        const auto isFlushed = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_state->mutex) {
             return m_state->lines.empty() && !m_state->writing;
         };
-        done = m_state->mutex.AwaitWithTimeout(absl::Condition(&written), ExitWait);
+        flushed = m_state->mutex.AwaitWithTimeout(absl::Condition(&isFlushed), FlushTimeout);
     }
-    if (done) {
+    if (flushed) {
         m_writer.join();
     } else {
         m_writer.detach(); // The thread is in a write that may never return; it shares ownership of the state.
@@ -44,11 +44,11 @@
 bool LineQueue::add(std::string line)
 {
     absl::MutexLock lock(&m_state->mutex);
-    if (m_state->bytes + line.size() > m_mostBytes) {
+    if (m_state->queuedBytes + line.size() > m_maxBytes) {
         ++m_state->dropped;
         return false;
     }
-    m_state->bytes += line.size();
+    m_state->queuedBytes += line.size();
     m_state->lines.push_back(std::move(line));
     return true;
 }
@@ -59,7 +59,7 @@
     return std::exchange(m_state->dropped, 0);
 }
 
-void LineQueue::writeAll(const std::shared_ptr<State> &state, const std::function<void(const std::string &)> &write)
+void LineQueue::runWriter(const std::shared_ptr<State> &state, const std::function<void(const std::string &)> &write)
 {
     for (;;) {
         std::string line;
@@ -75,7 +75,7 @@
             }
             line = std::move(state->lines.front());
             state->lines.pop_front();
-            state->bytes -= line.size();
+            state->queuedBytes -= line.size();
             state->writing = true;
         }
         write(line);
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -5,8 +5,8 @@
 
 #include "spurlug/core/log.h"
 
-#include "spurlug/core/line_budget.h"
 #include "spurlug/core/line_queue.h"
+#include "spurlug/core/log_rate_limiter.h"
 
 #include <absl/synchronization/mutex.h>
 #include <absl/time/clock.h>
@@ -24,31 +24,31 @@
 namespace
 {
 
-constexpr std::size_t MostWaitingBytes = 1 << 20; // About 4,000 lines: seconds of a busy daemon's output.
-constexpr std::int64_t MostLinesPerSecond
+constexpr std::size_t MaxQueuedBytes = 1 << 20; // About 4,000 lines: seconds of a busy daemon's output.
+constexpr std::int64_t MaxLinesPerSecond
     = 300; // For each event; a daemon's share of the peak load is some tens of requests/s.
 
 /// State of the log, created by startLog. Lock order: no other lock is taken under `mutex`.
 struct Logger
 {
-    Logger(std::string_view program, LogLevel lowest)
+    Logger(std::string_view program, LogLevel minLevel)
         : program(program)
-        , lowest(lowest)
-        , budget(MostLinesPerSecond)
-        , queue([](const std::string &line) { LOG(INFO) << line; }, MostWaitingBytes)
+        , minLevel(minLevel)
+        , rateLimiter(MaxLinesPerSecond)
+        , queue([](const std::string &line) { LOG(INFO) << line; }, MaxQueuedBytes)
     { }
 
     const std::string program;
-    std::atomic<LogLevel> lowest;
+    std::atomic<LogLevel> minLevel;
     absl::Mutex mutex;
-    LineBudget budget ABSL_GUARDED_BY(mutex);
+    LogRateLimiter rateLimiter ABSL_GUARDED_BY(mutex);
     LineQueue queue;
 };
 
 std::unique_ptr<Logger> g_logger; // NOLINT: set once by startLog before threads start
 
-std::string writeLine(const Logger &logger, LogLevel level, std::string_view event, const nlohmann::json &fields,
-                      std::int64_t suppressed)
+std::string formatLine(const Logger &logger, LogLevel level, std::string_view event, const nlohmann::json &fields,
+                       std::int64_t suppressed)
 {
     nlohmann::ordered_json line;
     line["time"] = absl::FormatTime(absl::RFC3339_full, absl::Now(), absl::UTCTimeZone());
@@ -66,7 +66,7 @@
 
 } // namespace
 
-void startLog(std::string_view program, LogLevel lowest)
+void startLog(std::string_view program, LogLevel minLevel)
 {
     el::Configurations configuration;
     configuration.setToDefault();
@@ -75,13 +75,13 @@
     configuration.setGlobally(el::ConfigurationType::ToStandardOutput, "true");
     el::Loggers::reconfigureAllLoggers(configuration);
     std::cout.setf(std::ios::unitbuf);
-    g_logger = std::make_unique<Logger>(program, lowest);
+    g_logger = std::make_unique<Logger>(program, minLevel);
 }
 
-void setLogLevel(LogLevel lowest)
+void setLogLevel(LogLevel minLevel)
 {
     if (g_logger) {
-        g_logger->lowest = lowest;
+        g_logger->minLevel = minLevel;
     }
 }
 
@@ -92,20 +92,20 @@
 
 void log(LogLevel level, std::string_view event, const nlohmann::json &fields)
 {
-    if (!g_logger || level < g_logger->lowest) {
+    if (!g_logger || level < g_logger->minLevel) {
         return;
     }
     std::int64_t suppressed = 0;
     {
         absl::MutexLock lock(&g_logger->mutex);
-        if (!g_logger->budget.take(event, now(), suppressed)) {
+        if (!g_logger->rateLimiter.tryLog(event, now(), suppressed)) {
             return;
         }
     }
     if (const auto dropped = g_logger->queue.takeDropped(); dropped > 0) {
-        g_logger->queue.add(writeLine(*g_logger, LogLevel::Warning, "log_lines_dropped", {{"lines", dropped}}, 0));
+        g_logger->queue.add(formatLine(*g_logger, LogLevel::Warning, "log_lines_dropped", {{"lines", dropped}}, 0));
     }
-    g_logger->queue.add(writeLine(*g_logger, level, event, fields, suppressed));
+    g_logger->queue.add(formatLine(*g_logger, level, event, fields, suppressed));
 }
 
 } // namespace spurlug::core
--- a/src/core/line_budget.cpp
+++ b/src/core/log_rate_limiter.cpp
@@ -3,25 +3,25 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "spurlug/core/line_budget.h"
+#include "spurlug/core/log_rate_limiter.h"
 
 #include <utility>
 
 namespace spurlug::core
 {
 
-bool LineBudget::take(std::string_view kind, Time now, std::int64_t &suppressed)
+bool LogRateLimiter::tryLog(std::string_view kind, Time now, std::int64_t &suppressed)
 {
     auto found = m_kinds.find(kind);
     if (found == m_kinds.end()) {
         found = m_kinds.emplace(std::string(kind), Kind{}).first;
     }
     auto &counts = found->second;
-    if (now - counts.second >= absl::Seconds(1)) {
-        counts.second = now;
+    if (now - counts.windowStart >= absl::Seconds(1)) {
+        counts.windowStart = now;
         counts.lines = 0;
     }
-    if (counts.lines >= m_mostPerSecond) {
+    if (counts.lines >= m_maxPerSecond) {
         ++counts.suppressed;
         return false;
     }
--- a/src/core/periodic.cpp
+++ b/src/core/periodic_thread.cpp
@@ -3,7 +3,7 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "spurlug/core/periodic.h"
+#include "spurlug/core/periodic_thread.h"
 
 #include "spurlug/core/log.h"
 
@@ -13,13 +13,13 @@
 namespace spurlug::core
 {
 
-Periodic::Periodic(std::string name, Round round)
+PeriodicThread::PeriodicThread(std::string name, Function function)
     : m_name(std::move(name))
-    , m_round(std::move(round))
-    , m_thread([this] { work(); })
+    , m_function(std::move(function))
+    , m_thread([this] { run(); })
 { }
 
-Periodic::~Periodic()
+PeriodicThread::~PeriodicThread()
 {
     {
         absl::MutexLock lock(&m_mutex);
@@ -28,29 +28,29 @@
     m_thread.join();
 }
 
-void Periodic::runNow()
+void PeriodicThread::runNow()
 {
     absl::MutexLock lock(&m_mutex);
-    m_now = true;
+    m_runNow = true;
 }
 
-void Periodic::work()
+void PeriodicThread::run()
 {
-    constexpr auto AfterFault = absl::Seconds(1);
-    const auto awaited = [this]() ABSL_NO_THREAD_SAFETY_ANALYSIS { return m_stopping || m_now; };
+    constexpr auto RetryDelay = absl::Seconds(1);
+    const auto shouldWake = [this]() ABSL_NO_THREAD_SAFETY_ANALYSIS { return m_stopping || m_runNow; };
     while (true) {
-        Duration wait = AfterFault;
+        Duration wait = RetryDelay;
         try {
-            wait = m_round();
+            wait = m_function();
         } catch (const std::exception &error) {
             log(LogLevel::Error, "round_failed", {{"work", m_name}, {"problem", error.what()}});
         }
         absl::MutexLock lock(&m_mutex);
-        m_mutex.AwaitWithTimeout(absl::Condition(&awaited), wait);
+        m_mutex.AwaitWithTimeout(absl::Condition(&shouldWake), wait);
         if (m_stopping) {
             return;
         }
-        m_now = false;
+        m_runNow = false;
     }
 }
 
--- a/src/core/rendezvous.cpp
+++ b/src/core/rendezvous.cpp
@@ -27,28 +27,28 @@
     return nodes;
 }
 
-std::map<std::string, std::string> shareOut(const std::vector<std::string> &items,
-                                            const std::vector<std::string> &nodes, std::size_t most)
+std::map<std::string, std::string> assignByRendezvous(const std::vector<std::string> &items,
+                                                      const std::vector<std::string> &nodes, std::size_t maxPerNode)
 {
-    std::map<std::string, std::string> shares;
+    std::map<std::string, std::string> assignments;
     if (nodes.empty()) {
-        return shares;
+        return assignments;
     }
-    const auto needed = (items.size() + nodes.size() - 1) / nodes.size();
-    const auto bound = std::max(most, needed);
-    auto ordered = items;
-    std::sort(ordered.begin(), ordered.end());
+    const auto minPerNode = (items.size() + nodes.size() - 1) / nodes.size();
+    const auto limit = std::max(maxPerNode, minPerNode);
+    auto sortedItems = items;
+    std::sort(sortedItems.begin(), sortedItems.end());
     std::map<std::string, std::size_t> counts;
-    for (const auto &item : ordered) {
+    for (const auto &item : sortedItems) {
         for (const auto &node : rankByRendezvous(item, nodes)) {
-            if (counts[node] < bound) {
+            if (counts[node] < limit) {
                 ++counts[node];
-                shares[item] = node;
+                assignments[item] = node;
                 break;
             }
         }
     }
-    return shares;
+    return assignments;
 }
 
 } // namespace spurlug::core
--- a/src/core/worker_pool.cpp
+++ b/src/core/worker_pool.cpp
@@ -22,33 +22,33 @@
 
 bool WorkerPool::hasRoom() const
 {
-    return m_tasks.size() + m_running < m_maxThreads + m_maxQueued;
+    return m_tasks.size() + m_busyThreads < m_maxThreads + m_maxQueued;
 }
 
-void WorkerPool::push(Task task)
+void WorkerPool::enqueue(Task task)
 {
     m_tasks.push_back(std::move(task));
-    if (m_tasks.size() > m_idle && m_threads.size() < m_maxThreads) {
-        m_threads.emplace_back([this] { work(); });
+    if (m_tasks.size() > m_idleThreads && m_threads.size() < m_maxThreads) {
+        m_threads.emplace_back([this] { runTasks(); });
     }
 }
 
-bool WorkerPool::tryRun(Task task)
+bool WorkerPool::trySubmit(Task task)
 {
     absl::MutexLock lock(&m_mutex);
     if (m_stopping || !hasRoom()) {
         return false;
     }
-    push(std::move(task));
+    enqueue(std::move(task));
     return true;
 }
 
-void WorkerPool::run(Task task)
+void WorkerPool::submit(Task task)
 {
     absl::MutexLock lock(&m_mutex);
     m_mutex.Await(absl::Condition(
         +[](WorkerPool *pool) ABSL_NO_THREAD_SAFETY_ANALYSIS { return pool->m_stopping || pool->hasRoom(); }, this));
-    push(std::move(task));
+    enqueue(std::move(task));
 }
 
 void WorkerPool::stop()
@@ -67,30 +67,30 @@
 std::size_t WorkerPool::busyThreads() const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_running;
+    return m_busyThreads;
 }
 
-void WorkerPool::work()
+void WorkerPool::runTasks()
 {
     const auto hasWork = [this]() ABSL_NO_THREAD_SAFETY_ANALYSIS { return m_stopping || !m_tasks.empty(); };
     while (true) {
         Task task;
         {
             absl::MutexLock lock(&m_mutex);
-            ++m_idle;
+            ++m_idleThreads;
             m_mutex.Await(absl::Condition(&hasWork));
-            --m_idle;
+            --m_idleThreads;
             if (m_tasks.empty()) {
                 return;
             }
-            ++m_running;
+            ++m_busyThreads;
             task = std::move(m_tasks.front());
             m_tasks.pop_front();
         }
         task();
         task = nullptr;
         absl::MutexLock lock(&m_mutex);
-        --m_running;
+        --m_busyThreads;
     }
 }
 
--- a/src/daemon/admin_api.cpp
+++ b/src/daemon/admin_api.cpp
@@ -20,7 +20,7 @@
 constexpr int NotFound = 404;
 constexpr int Unavailable = 503;
 constexpr int Accepted = 202;
-constexpr std::size_t MostDecisions = 100;
+constexpr std::size_t MaxDecisions = 100;
 
 constexpr auto JsonType = "application/json";
 
@@ -41,32 +41,32 @@
 
 } // namespace
 
-AdminApi::AdminApi(AdminApiParts parts)
-    : m_parts(std::move(parts))
+AdminApi::AdminApi(AdminApiComponents components)
+    : m_components(std::move(components))
 { }
 
 void AdminApi::configure(httplib::Server &server)
 {
     server.Get("/healthz", [](const auto &, auto &response) { response.set_content("ok\n", "text/plain"); });
     server.Get("/ready", [this](const auto &, auto &response) {
-        const auto state = m_parts.fleet.state();
+        const auto state = m_components.fleet.state();
         response.status = state == membership::DaemonState::Serving ? 200 : Unavailable;
         response.set_content(std::string(core::nameOf(state)) + "\n", "text/plain");
     });
     server.Get("/metrics", [this](const auto &, auto &response) {
-        m_parts.setGauges();
-        response.set_content(m_parts.metrics.prometheusText(), "text/plain; version=0.0.4");
+        m_components.updateGauges();
+        response.set_content(m_components.metrics.prometheusText(), "text/plain; version=0.0.4");
     });
     server.Get("/status", [this](const auto &, auto &response) { response.set_content(status().dump(), JsonType); });
     server.Get(R"(/explain/(.+))", [this](const auto &request, auto &response) {
-        const auto decision = m_parts.finder.find(request.matches[1].str(), SearchScope::Fleet, core::now());
+        const auto decision = m_components.finder.find(request.matches[1].str(), SearchScope::Fleet, core::now());
         response.status = decision ? 200 : NotFound;
         response.set_content(decision.value_or(R"({"error":"no such decision is kept"})"), JsonType);
     });
     server.Get("/decisions", [this](const auto &request, auto &response) {
         std::uint64_t after = 0;
-        [[maybe_unused]] const bool given = core::readNumber(request.get_param_value("after"), after);
-        const auto [decisions, last] = m_parts.decisions.since(after, MostDecisions);
+        [[maybe_unused]] const bool given = core::parseInteger(request.get_param_value("after"), after);
+        const auto [decisions, last] = m_components.decisions.decisionsAfter(after, MaxDecisions);
         auto list = nlohmann::ordered_json::array();
         for (const auto &decision : decisions) {
             list.push_back(explain::toJson(decision));
@@ -74,7 +74,7 @@
         response.set_content(nlohmann::ordered_json{{"last", last}, {"decisions", std::move(list)}}.dump(), JsonType);
     });
     server.Post("/drain", [this](const auto &, auto &response) {
-        m_parts.startDrain();
+        m_components.startDrain();
         response.status = Accepted;
     });
 }
@@ -82,33 +82,33 @@
 nlohmann::ordered_json AdminApi::status() const
 {
     const auto now = core::now();
-    const auto configuration = m_parts.store.current();
-    nlohmann::ordered_json out{{"vm", m_parts.identity.vm},
-                               {"failureDomain", m_parts.identity.failureDomain},
-                               {"state", core::nameOf(m_parts.fleet.state())},
-                               {"generation", m_parts.store.generation()},
-                               {"refusedGeneration", m_parts.store.refusedGeneration()},
-                               {"refusal", m_parts.store.refusal()}};
+    const auto configuration = m_components.store.current();
+    nlohmann::ordered_json out{{"vm", m_components.identity.vm},
+                               {"failureDomain", m_components.identity.failureDomain},
+                               {"state", core::nameOf(m_components.fleet.state())},
+                               {"generation", m_components.store.generation()},
+                               {"refusedGeneration", m_components.store.refusedGeneration()},
+                               {"refusal", m_components.store.refusal()}};
     out["peers"] = nlohmann::ordered_json::array();
-    for (const auto &peer : m_parts.fleet.alive(now)) {
-        out["peers"].push_back({{"vm", peer.news.vm},
-                                {"failureDomain", peer.news.failureDomain},
-                                {"state", core::nameOf(peer.news.state)},
-                                {"generation", peer.news.generation},
-                                {"refusedGeneration", peer.news.refusedGeneration},
-                                {"heardMsAgo", core::toMs(now - peer.heardAt)}});
+    for (const auto &peer : m_components.fleet.alivePeers(now)) {
+        out["peers"].push_back({{"vm", peer.report.vm},
+                                {"failureDomain", peer.report.failureDomain},
+                                {"state", core::nameOf(peer.report.state)},
+                                {"generation", peer.report.generation},
+                                {"refusedGeneration", peer.report.refusedGeneration},
+                                {"heardMsAgo", core::toMs(now - peer.lastHeartbeatAt)}});
     }
     out["domains"] = nlohmann::ordered_json::array();
-    for (const auto &domain : m_parts.fleet.domains(now)) {
+    for (const auto &domain : m_components.fleet.domainSummaries(now)) {
         out["domains"].push_back({{"failureDomain", domain.failureDomain},
-                                  {"daemons", domain.daemons},
+                                  {"daemons", domain.daemonCount},
                                   {"lowestGeneration", domain.lowestGeneration},
                                   {"ageMs", core::toMs(domain.age)}});
     }
     out["targets"] = nlohmann::ordered_json::array();
     if (configuration) {
         for (const auto &pool : configuration->pools) {
-            for (const auto &view : m_parts.targets.views(pool.targets, now)) {
+            for (const auto &view : m_components.targets.views(pool.targets, now)) {
                 out["targets"].push_back(targetStatus(view));
             }
         }
--- a/src/daemon/completion_writer.cpp
+++ b/src/daemon/completion_writer.cpp
@@ -17,21 +17,21 @@
 namespace
 {
 
-struct FinishWord
+struct FinishInfo
 {
     nlohmann::json reason = "stop";
     nlohmann::json usage;
 };
 
-FinishWord readFinish(std::string_view payload)
+FinishInfo readFinish(std::string_view payload)
 {
-    FinishWord word;
+    FinishInfo info;
     const auto value = nlohmann::json::parse(payload, nullptr, false);
     if (value.is_object()) {
-        word.reason = value.value("finish_reason", nlohmann::json("stop"));
-        word.usage = value.value("usage", nlohmann::json::object());
+        info.reason = value.value("finish_reason", nlohmann::json("stop"));
+        info.usage = value.value("usage", nlohmann::json::object());
     }
-    return word;
+    return info;
 }
 
 } // namespace
@@ -61,7 +61,7 @@
     }
 }
 
-std::string CompletionWriter::wholeAnswer(std::string_view finishPayload) const
+std::string CompletionWriter::fullAnswer(std::string_view finishPayload) const
 {
     const auto finish = readFinish(finishPayload);
     nlohmann::ordered_json choice{{"index", 0}};
@@ -77,7 +77,7 @@
     return answer.dump();
 }
 
-std::string CompletionWriter::streamEnd(std::string_view finishPayload, bool includeUsage) const
+std::string CompletionWriter::finalEvents(std::string_view finishPayload, bool includeUsage) const
 {
     const auto finish = readFinish(finishPayload);
     const auto *object = m_kind == CompletionKind::Chat ? "chat.completion.chunk" : "text_completion";
--- a/src/daemon/config_follower.cpp
+++ b/src/daemon/config_updater.cpp
@@ -3,7 +3,7 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "spurlug/daemon/config_follower.h"
+#include "spurlug/daemon/config_updater.h"
 
 #include "spurlug/core/error.h"
 #include "spurlug/core/hash.h"
@@ -20,19 +20,18 @@
 namespace
 {
 
-constexpr auto NotWatching = absl::Seconds(1);
+constexpr auto RoleCheckInterval = absl::Seconds(1);
 constexpr auto PullInterval = absl::Milliseconds(200);
-constexpr auto VmListTick = absl::Seconds(1);
-constexpr auto OftenInterval = absl::Seconds(5);
-constexpr auto SeldomInterval = absl::Seconds(60);
-constexpr auto LongestBackoff = absl::Seconds(10);
-constexpr int MostDoublings = 6;
+constexpr auto VmListCheckInterval = absl::Seconds(1);
+constexpr auto FrequentVmListInterval = absl::Seconds(5);
+constexpr auto RegularVmListInterval = absl::Seconds(60);
+constexpr auto MaxBackoff = absl::Seconds(10);
+constexpr int MaxBackoffDoublings = 6;
 
 } // namespace
 
-ConfigFollower::ConfigFollower(config::Store &store, membership::Fleet &fleet, PeerCalls &peers,
-                               const objects::HttpObjectApi &platform, metrics::Metrics &metrics,
-                               settings::Timing timing)
+ConfigUpdater::ConfigUpdater(config::Store &store, membership::Fleet &fleet, PeerClient &peers,
+                             const objects::HttpObjectApi &platform, metrics::Metrics &metrics, settings::Timing timing)
     : m_store(store)
     , m_fleet(fleet)
     , m_peers(peers)
@@ -40,32 +39,32 @@
     , m_metrics(metrics)
     , m_timing(timing)
     , m_random(core::fastHash(fleet.self(), static_cast<std::uint64_t>(absl::ToUnixNanos(core::now()))))
-    , m_watcher(std::make_unique<core::Periodic>("configuration watch", [this] { return watchRound(); }))
-    , m_puller(std::make_unique<core::Periodic>("configuration pull", [this] { return pullRound(); }))
-    , m_vmList(std::make_unique<core::Periodic>("VM list", [this] { return vmListRound(); }))
+    , m_watcher(std::make_unique<core::PeriodicThread>("configuration watch", [this] { return watchPlatform(); }))
+    , m_puller(std::make_unique<core::PeriodicThread>("configuration pull", [this] { return pullFromPeers(); }))
+    , m_vmListUpdater(std::make_unique<core::PeriodicThread>("VM list", [this] { return updateVmList(); }))
 { }
 
-ConfigFollower::~ConfigFollower() = default;
+ConfigUpdater::~ConfigUpdater() = default;
 
-bool ConfigFollower::shouldWatch() const
+bool ConfigUpdater::shouldWatch() const
 {
-    return m_store.generation() == 0 || m_fleet.holds(WatcherRole, Watchers, core::now());
+    return m_store.generation() == 0 || m_fleet.holdsRole(WatcherRole, WatcherCount, core::now());
 }
 
-core::Duration ConfigFollower::watchRound()
+core::Duration ConfigUpdater::watchPlatform()
 {
     if (!std::exchange(m_started, true)) {
         return startDelay();
     }
     if (!shouldWatch()) {
         m_rootVersion = 0;
-        return NotWatching;
+        return RoleCheckInterval;
     }
     try {
         m_metrics.count(metrics::Counter::PlatformReads);
-        const auto root = m_platform.waitForChange(std::string(config::RootObject), m_rootVersion, m_timing.watch);
+        const auto root = m_platform.waitForChange(std::string(config::RootObjectName), m_rootVersion, m_timing.watch);
         if (root) {
-            takeFromPlatform(*root);
+            loadFromPlatform(*root);
             m_rootVersion = root->version;
         }
         m_failures = 0;
@@ -78,37 +77,37 @@
 
 /// Spreads the first reads of daemons that start together, so that most of them get the configuration from the first
 /// one that has it and not from the platform.
-core::Duration ConfigFollower::startDelay()
+core::Duration ConfigUpdater::startDelay()
 {
-    std::uniform_real_distribution<double> share(0, 1);
-    return m_timing.startSpread * share(m_random);
+    std::uniform_real_distribution<double> fraction(0, 1);
+    return m_timing.startSpread * fraction(m_random);
 }
 
-core::Duration ConfigFollower::backoff()
+core::Duration ConfigUpdater::backoff()
 {
-    const auto full
-        = std::min(m_timing.platformRetry * (1 << std::min(m_failures, MostDoublings)), core::Duration(LongestBackoff));
+    const auto maxDelay = std::min(m_timing.platformRetry * (1 << std::min(m_failures, MaxBackoffDoublings)),
+                                   core::Duration(MaxBackoff));
     ++m_failures;
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
-    return full * jitter(m_random);
+    return maxDelay * jitter(m_random);
 }
 
 /// Keeps the parts already read if a later one cannot be read, so that the next attempt reads only the rest.
-void ConfigFollower::takeFromPlatform(const objects::Object &root)
+void ConfigUpdater::loadFromPlatform(const objects::Object &root)
 {
-    for (const auto &hash : m_store.missingParts(config::readRoot(root.value))) {
-        if (m_partsRead.contains(hash)) {
+    for (const auto &hash : m_store.missingParts(config::parseRoot(root.value))) {
+        if (m_loadedParts.contains(hash)) {
             continue;
         }
         m_metrics.count(metrics::Counter::PlatformReads);
-        if (auto part = m_platform.read(config::partObject(hash))) {
-            m_partsRead[hash] = std::move(part->value);
+        if (auto part = m_platform.read(config::partObjectName(hash))) {
+            m_loadedParts[hash] = std::move(part->value);
         }
     }
-    offer(root.value, std::exchange(m_partsRead, {}));
+    offer(root.value, std::exchange(m_loadedParts, {}));
 }
 
-void ConfigFollower::offer(const std::string &root, config::PartTexts texts)
+void ConfigUpdater::offer(const std::string &root, config::PartTexts texts)
 {
     if (m_store.offer(root, std::move(texts)) == config::OfferResult::Refused) {
         m_metrics.count(metrics::Counter::ConfigurationsRefused);
@@ -117,54 +116,54 @@
     }
 }
 
-core::Duration ConfigFollower::pullRound()
+core::Duration ConfigUpdater::pullFromPeers()
 {
     const auto now = core::now();
     std::optional<membership::Peer> newest;
-    for (auto &peer : m_fleet.alive(now)) {
-        if (peer.news.generation > (newest ? newest->news.generation : m_store.generation())) {
+    for (auto &peer : m_fleet.alivePeers(now)) {
+        if (peer.report.generation > (newest ? newest->report.generation : m_store.generation())) {
             newest = std::move(peer);
         }
     }
-    if (newest && newest->news.generation > m_store.refusedGeneration()) {
+    if (newest && newest->report.generation > m_store.refusedGeneration()) {
         try {
-            takeFromPeer(newest->news.rpcAddress);
+            loadFromPeer(newest->report.rpcAddress);
         } catch (const core::Error &error) {
             core::log(core::LogLevel::Warning, "configuration_pull_failed",
-                      {{"peer", newest->news.vm}, {"problem", error.what()}});
+                      {{"peer", newest->report.vm}, {"problem", error.what()}});
         }
     }
     return PullInterval;
 }
 
-void ConfigFollower::takeFromPeer(const core::Address &peer)
+void ConfigUpdater::loadFromPeer(const core::Address &peer)
 {
     const auto root = m_peers.fetchRoot(peer);
-    const auto missing = m_store.missingParts(config::readRoot(root));
+    const auto missing = m_store.missingParts(config::parseRoot(root));
     auto texts = missing.empty() ? config::PartTexts() : m_peers.fetchParts(peer, missing);
     offer(root, std::move(texts));
 }
 
-core::Duration ConfigFollower::vmListRound()
+core::Duration ConfigUpdater::updateVmList()
 {
     const auto now = core::now();
-    if (now - m_vmListReadAt < (readsVmListOften(now) ? OftenInterval : SeldomInterval)) {
-        return VmListTick;
+    if (now - m_vmListReadAt < (needsFrequentVmList(now) ? FrequentVmListInterval : RegularVmListInterval)) {
+        return VmListCheckInterval;
     }
     m_vmListReadAt = now;
     try {
         m_metrics.count(metrics::Counter::PlatformReads);
-        m_fleet.noteVmList(m_platform.vms());
+        m_fleet.applyVmList(m_platform.vms());
     } catch (const core::PlatformUnavailable &) {
         m_metrics.count(metrics::Counter::PlatformFailures);
     }
-    return VmListTick;
+    return VmListCheckInterval;
 }
 
 /// Watchers and delegates are the first to contact a new VM; the other daemons wait to be contacted.
-bool ConfigFollower::readsVmListOften(core::Time now) const
+bool ConfigUpdater::needsFrequentVmList(core::Time now) const
 {
-    return m_fleet.holds(WatcherRole, Watchers, now) || !m_fleet.sendToOtherDomains(now).empty();
+    return m_fleet.holdsRole(WatcherRole, WatcherCount, now) || !m_fleet.otherDomainRecipients(now).empty();
 }
 
 } // namespace spurlug::daemon
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -11,15 +11,15 @@
 #include "spurlug/core/log.h"
 #include "spurlug/daemon/admin_api.h"
 #include "spurlug/daemon/caller_api.h"
-#include "spurlug/daemon/config_follower.h"
-#include "spurlug/daemon/home_domain.h"
+#include "spurlug/daemon/config_updater.h"
 #include "spurlug/daemon/http_listener.h"
-#include "spurlug/daemon/peer_calls.h"
+#include "spurlug/daemon/local_domain.h"
+#include "spurlug/daemon/peer_client.h"
 #include "spurlug/daemon/peer_server.h"
 #include "spurlug/daemon/roles.h"
-#include "spurlug/dispatch/request_run.h"
+#include "spurlug/dispatch/request_handler.h"
 #include "spurlug/grants/broker_host.h"
-#include "spurlug/grants/group_keeper.h"
+#include "spurlug/grants/group_manager.h"
 #include "spurlug/membership/heartbeat_service.h"
 #include "spurlug/objects/object_api.h"
 #include "spurlug/targets/observer.h"
@@ -36,10 +36,10 @@
 namespace
 {
 
-constexpr auto NoticeTime
+constexpr auto ReadinessNoticeTime
     = absl::Milliseconds(2000); // Time for the load balancer to notice that the readiness check fails.
-constexpr auto DrainPoll = absl::Milliseconds(20);
-constexpr auto LastWrites = absl::Milliseconds(100);
+constexpr auto DrainPollInterval = absl::Milliseconds(20);
+constexpr auto FinalWriteTime = absl::Milliseconds(100);
 
 Identity makeIdentity(const settings::DaemonSettings &settings)
 {
@@ -57,17 +57,17 @@
 {
     explicit Impl(const settings::DaemonSettings &theSettings);
 
-    [[nodiscard]] grants::GroupKeeper::GrantHooks grantHooks();
-    [[nodiscard]] std::optional<grants::Granted> acquire(const std::string &pool, const grants::Ask &ask,
-                                                         core::Duration wait);
-    [[nodiscard]] std::optional<grants::Granted> acquireHere(const std::string &pool, const grants::Ask &ask,
-                                                             core::Duration wait);
-    [[nodiscard]] membership::Heartbeat compose(membership::Audience audience) const;
-    void receive(const membership::Heartbeat &heartbeat, core::Time now);
-    void applied(const config::ConfigurationRef &configuration);
+    [[nodiscard]] grants::GroupManager::GrantCallbacks grantHooks();
+    [[nodiscard]] std::optional<grants::TicketedGrant>
+    acquireGrant(const std::string &pool, const grants::GrantRequest &ask, core::Duration wait);
+    [[nodiscard]] std::optional<grants::TicketedGrant>
+    acquireGrantLocally(const std::string &pool, const grants::GrantRequest &ask, core::Duration wait);
+    [[nodiscard]] membership::Heartbeat composeHeartbeat(membership::HeartbeatScope audience) const;
+    void handleHeartbeat(const membership::Heartbeat &heartbeat, core::Time now);
+    void onConfigurationApplied(const config::ConfigurationRef &configuration);
     [[nodiscard]] claims::ClaimAnswer claim(const claims::ClaimWish &wish);
-    [[nodiscard]] claims::ClaimAnswer claimHere(const claims::ClaimWish &wish);
-    void setGauges();
+    [[nodiscard]] claims::ClaimAnswer claimLocally(const claims::ClaimWish &wish);
+    void updateGauges();
 
     const settings::DaemonSettings settings;
     Identity identity;
@@ -77,27 +77,27 @@
     explain::DecisionRing decisions;
     config::Store store;
     objects::HttpObjectApi platform;
-    HomeDomain home;
-    PeerCalls peers;
+    LocalDomain localDomain;
+    PeerClient peerClient;
     DecisionFinder finder;
-    core::WorkerPool attempts;
+    core::WorkerPool attemptPool;
     dispatch::RetryBudget retryBudget;
     limits::OrganisationLimiter limiter;
-    admission::TokenRatios ratios;
+    admission::TokenEstimator tokenEstimator;
     admission::ByteBudget bodyMemory;
-    std::atomic<bool> refusing{false};
-    claims::ClaimOwner claimOwner;
+    std::atomic<bool> refusingRequests{false};
+    claims::ClaimCommitter claimOwner;
     grants::BrokerHost brokers;
-    grants::GroupKeeper groups;
-    dispatch::RunContext runs;
+    grants::GroupManager groups;
+    dispatch::HandlerContext handlerContext;
     std::unique_ptr<PeerServer> peerServer;
     CallerApi callerApi;
     AdminApi adminApi;
-    std::unique_ptr<HttpListener> callers;
-    std::unique_ptr<HttpListener> operators;
+    std::unique_ptr<HttpListener> callerListener;
+    std::unique_ptr<HttpListener> adminListener;
     std::unique_ptr<targets::Observer> observer;
     std::unique_ptr<membership::HeartbeatService> heartbeats;
-    std::unique_ptr<ConfigFollower> follower;
+    std::unique_ptr<ConfigUpdater> configUpdater;
 };
 
 Daemon::Impl::Impl(const settings::DaemonSettings &theSettings)
@@ -105,46 +105,46 @@
     , identity(makeIdentity(settings))
     , fleet(settings.vm, settings.failureDomain, settings.timing.peerTimeout, settings.failureDomains)
     , decisions(static_cast<std::size_t>(settings.limits.decisionsKept))
-    , store([this](const config::ConfigurationRef &configuration) { applied(configuration); })
+    , store([this](const config::ConfigurationRef &configuration) { onConfigurationApplied(configuration); })
     , platform(settings.platform)
-    , home(identity, store, fleet, targetTable)
-    , finder(decisions, fleet, peers)
-    , attempts(static_cast<std::size_t>(settings.limits.connections), 0)
+    , localDomain(identity, store, fleet, targetTable)
+    , finder(decisions, fleet, peerClient)
+    , attemptPool(static_cast<std::size_t>(settings.limits.connections), 0)
     , bodyMemory(settings.limits.bodyMemoryBytes)
     , claimOwner(platform, metrics)
     , brokers(
           targetTable, [this] { return store.current(); }, settings.failureDomain)
     , groups(settings.vm, identity.incarnation, grantHooks())
-    , runs{targetTable,
-           metrics,
-           decisions,
-           attempts,
-           groups,
-           [this](const std::string &pool, const grants::Ask &ask, core::Duration wait) {
-               return acquire(pool, ask, wait);
-           },
-           retryBudget,
-           {},
-           {},
-           settings.failureDomain}
+    , handlerContext{targetTable,
+                     metrics,
+                     decisions,
+                     attemptPool,
+                     groups,
+                     [this](const std::string &pool, const grants::GrantRequest &ask, core::Duration wait) {
+                         return acquireGrant(pool, ask, wait);
+                     },
+                     retryBudget,
+                     {},
+                     {},
+                     settings.failureDomain}
     , peerServer(std::make_unique<PeerServer>(settings.rpcAddress,
-                                              PeerServerParts{brokers, claimOwner, fleet, store, finder, metrics}))
-    , callerApi({identity, store, runs, limiter, ratios, bodyMemory, settings.limits.bodyBytes, metrics, refusing,
-                 [this](const claims::ClaimWish &wish) { return claim(wish); }})
-    , adminApi({identity, store, fleet, targetTable, decisions, metrics, finder, [this] { setGauges(); },
+                                              PeerServerComponents{brokers, claimOwner, fleet, store, finder, metrics}))
+    , callerApi({identity, store, handlerContext, limiter, tokenEstimator, bodyMemory, settings.limits.bodyBytes,
+                 metrics, refusingRequests, [this](const claims::ClaimWish &wish) { return claim(wish); }})
+    , adminApi({identity, store, fleet, targetTable, decisions, metrics, finder, [this] { updateGauges(); },
                 [] { kill(getpid(), SIGTERM); }})
 {
     const auto &limits = settings.limits;
     identity.rpcAddress = peerServer->address();
-    callers = std::make_unique<HttpListener>(
+    callerListener = std::make_unique<HttpListener>(
         settings.callerAddress,
         ListenerLimits{static_cast<std::size_t>(limits.connections), static_cast<std::size_t>(limits.bodyBytes)},
         [this](httplib::Server &server) { callerApi.configure(server); });
-    identity.callerAddress = callers->address();
-    operators = std::make_unique<HttpListener>(settings.adminAddress,
-                                               ListenerLimits{static_cast<std::size_t>(limits.adminConnections)},
-                                               [this](httplib::Server &server) { adminApi.configure(server); });
-    identity.adminAddress = operators->address();
+    identity.callerAddress = callerListener->address();
+    adminListener = std::make_unique<HttpListener>(settings.adminAddress,
+                                                   ListenerLimits{static_cast<std::size_t>(limits.adminConnections)},
+                                                   [this](httplib::Server &server) { adminApi.configure(server); });
+    identity.adminAddress = adminListener->address();
     auto socket = std::make_unique<membership::UdpSocket>(settings.peerAddress);
     identity.peerAddress = socket->address();
     observer = std::make_unique<targets::Observer>(
@@ -152,112 +152,113 @@
         settings.timing.loadPoll);
     heartbeats = std::make_unique<membership::HeartbeatService>(
         fleet, metrics, std::move(socket), settings.peerKey, settings.seeds, settings.timing.heartbeat,
-        membership::HeartbeatHooks{[this](membership::Audience audience) { return compose(audience); },
-                                   [this](const auto &heartbeat, core::Time now) { receive(heartbeat, now); }});
-    follower = std::make_unique<ConfigFollower>(store, fleet, peers, platform, metrics, settings.timing);
+        membership::HeartbeatCallbacks{
+            [this](membership::HeartbeatScope audience) { return composeHeartbeat(audience); },
+            [this](const auto &heartbeat, core::Time now) { handleHeartbeat(heartbeat, now); }});
+    configUpdater = std::make_unique<ConfigUpdater>(store, fleet, peerClient, platform, metrics, settings.timing);
 }
 
-grants::GroupKeeper::GrantHooks Daemon::Impl::grantHooks()
+grants::GroupManager::GrantCallbacks Daemon::Impl::grantHooks()
 {
     const auto renew = [this](const grants::GrantTicket &ticket) {
         if (ticket.broker == identity.rpcAddress) {
             brokers.renew(ticket.grant, core::now());
         } else {
-            peers.renew(ticket.broker, ticket.grant);
+            peerClient.renewGrant(ticket.broker, ticket.grant);
         }
     };
     const auto release = [this](const grants::GrantTicket &ticket) {
         if (ticket.broker == identity.rpcAddress) {
             brokers.release(ticket.grant);
         } else {
-            peers.release(ticket.broker, ticket.grant);
+            peerClient.releaseGrant(ticket.broker, ticket.grant);
         }
     };
     return {renew, release};
 }
 
-std::optional<grants::Granted> Daemon::Impl::acquire(const std::string &pool, const grants::Ask &ask,
-                                                     core::Duration wait)
+std::optional<grants::TicketedGrant> Daemon::Impl::acquireGrant(const std::string &pool,
+                                                                const grants::GrantRequest &ask, core::Duration wait)
 {
     const auto now = core::now();
-    const auto broker = home.brokerFor(pool, ask.engines, now);
+    const auto broker = localDomain.brokerFor(pool, ask.engines, now);
     if (broker == identity.rpcAddress) {
-        return acquireHere(pool, ask, wait);
+        return acquireGrantLocally(pool, ask, wait);
     }
     if (broker.port == 0) {
         throw core::NetworkError("no broker is known");
     }
-    auto answer = peers.acquire(broker, pool, ask, now - ask.askedAt, wait);
+    auto answer = peerClient.acquireGrant(broker, pool, ask, now - ask.waitingSince, wait);
     if (answer.notBroker) {
         throw core::NetworkError("the peer does not hold the broker role");
     }
     if (!answer.grant) {
         return std::nullopt;
     }
-    return grants::Granted{{broker, answer.grant->id}, std::move(answer.grant->targets)};
+    return grants::TicketedGrant{{broker, answer.grant->id}, std::move(answer.grant->targets)};
 }
 
-std::optional<grants::Granted> Daemon::Impl::acquireHere(const std::string &pool, const grants::Ask &ask,
-                                                         core::Duration wait)
+std::optional<grants::TicketedGrant>
+Daemon::Impl::acquireGrantLocally(const std::string &pool, const grants::GrantRequest &ask, core::Duration wait)
 {
     absl::Notification answered;
-    grants::AskAnswer answer;
-    const auto onAnswer = [&](const grants::AskAnswer &given) {
-        answer = given;
+    grants::GrantReply answer;
+    const auto onAnswer = [&](const grants::GrantReply &reply) {
+        answer = reply;
         answered.Notify();
     };
-    brokers.ask(pool, ask, wait, onAnswer, core::now());
+    brokers.enqueue(pool, ask, wait, onAnswer, core::now());
     answered.WaitForNotification();
     if (!answer.grant) {
         return std::nullopt;
     }
-    return grants::Granted{{identity.rpcAddress, answer.grant->id}, std::move(answer.grant->targets)};
+    return grants::TicketedGrant{{identity.rpcAddress, answer.grant->id}, std::move(answer.grant->targets)};
 }
 
-membership::Heartbeat Daemon::Impl::compose(membership::Audience audience) const
+membership::Heartbeat Daemon::Impl::composeHeartbeat(membership::HeartbeatScope audience) const
 {
     const auto now = core::now();
     membership::Heartbeat heartbeat;
-    auto &news = heartbeat.news;
-    news.vm = identity.vm;
-    news.failureDomain = identity.failureDomain;
-    news.peerAddress = identity.peerAddress;
-    news.rpcAddress = identity.rpcAddress;
-    news.incarnation = identity.incarnation;
-    news.state = fleet.state();
-    news.generation = store.generation();
-    news.refusedGeneration = store.refusedGeneration();
+    auto &sender = heartbeat.sender;
+    sender.vm = identity.vm;
+    sender.failureDomain = identity.failureDomain;
+    sender.peerAddress = identity.peerAddress;
+    sender.rpcAddress = identity.rpcAddress;
+    sender.incarnation = identity.incarnation;
+    sender.state = fleet.state();
+    sender.generation = store.generation();
+    sender.refusedGeneration = store.refusedGeneration();
     switch (audience) {
-    case membership::Audience::OtherDomains:
-        heartbeat.summaries.push_back(home.summary(now));
+    case membership::HeartbeatScope::OtherDomains:
+        heartbeat.summaries.push_back(localDomain.summary(now));
         break;
-    case membership::Audience::OwnDomainWithSummaries:
-        heartbeat.summaries = fleet.summariesToRepeat(now);
+    case membership::HeartbeatScope::OwnDomainWithSummaries:
+        heartbeat.summaries = fleet.summariesToForward(now);
         heartbeat.loads = observer->ownLoads(now);
         break;
-    case membership::Audience::OwnDomain:
+    case membership::HeartbeatScope::OwnDomain:
         heartbeat.loads = observer->ownLoads(now);
         break;
     }
     return heartbeat;
 }
 
-void Daemon::Impl::receive(const membership::Heartbeat &heartbeat, core::Time now)
+void Daemon::Impl::handleHeartbeat(const membership::Heartbeat &heartbeat, core::Time now)
 {
     for (const auto &load : heartbeat.loads) {
-        targetTable.report(load.target, load.report, now - load.age);
+        targetTable.recordReport(load.target, load.report, now - load.age);
     }
-    for (const auto &summary : fleet.hearSummaries(heartbeat, now)) {
+    for (const auto &summary : fleet.storeSummaries(heartbeat, now)) {
         for (const auto &pool : summary.pools) {
-            for (const auto &load : pool.best) {
-                targetTable.report(load.target, load.report, now - load.age);
+            for (const auto &load : pool.leastLoaded) {
+                targetTable.recordReport(load.target, load.report, now - load.age);
             }
         }
     }
-    limiter.setDaemons(fleet.daemons(now));
+    limiter.setDaemonCount(fleet.daemonCount(now));
 }
 
-void Daemon::Impl::applied(const config::ConfigurationRef &configuration)
+void Daemon::Impl::onConfigurationApplied(const config::ConfigurationRef &configuration)
 {
     targetTable.configure(*configuration);
     metrics.count(metrics::Counter::ConfigurationsApplied);
@@ -265,7 +266,7 @@
     if (starting) {
         fleet.setState(membership::DaemonState::Serving);
     }
-    if (starting || fleet.holds(WatcherRole, Watchers, core::now())) {
+    if (starting || fleet.holdsRole(WatcherRole, WatcherCount, core::now())) {
         heartbeats->sendNow(); // Peers are waiting for this generation.
     }
     core::log(core::LogLevel::Info, "configuration_applied", {{"generation", configuration->generation}});
@@ -273,39 +274,39 @@
 
 claims::ClaimAnswer Daemon::Impl::claim(const claims::ClaimWish &wish)
 {
-    const auto owner = fleet.holder(ClaimOwnerRole, core::now());
+    const auto owner = fleet.roleHolder(ClaimOwnerRole, core::now());
     const auto peer = fleet.find(owner);
     if (!peer) {
-        return claimHere(wish);
+        return claimLocally(wish);
     }
     try {
-        return peers.claim(peer->news.rpcAddress, wish);
+        return peerClient.claim(peer->report.rpcAddress, wish);
     } catch (const core::NetworkError &) {
-        return claimHere(
+        return claimLocally(
             wish); // The owner is unreachable. Any daemon may commit the claim, as it names the same request.
     }
 }
 
-claims::ClaimAnswer Daemon::Impl::claimHere(const claims::ClaimWish &wish)
+claims::ClaimAnswer Daemon::Impl::claimLocally(const claims::ClaimWish &wish)
 {
     absl::Notification answered;
     claims::ClaimAnswer answer;
-    claimOwner.wish(wish, [&](const claims::ClaimAnswer &given) {
-        answer = given;
+    claimOwner.submit(wish, [&](const claims::ClaimAnswer &reply) {
+        answer = reply;
         answered.Notify();
     });
     answered.WaitForNotification();
     return answer;
 }
 
-void Daemon::Impl::setGauges()
+void Daemon::Impl::updateGauges()
 {
-    metrics.gauge("requests_in_progress", static_cast<double>(runs.inProgress));
-    metrics.gauge("groups_held", static_cast<double>(groups.size()));
-    metrics.gauge("asks_waiting", static_cast<double>(brokers.waiting()));
-    metrics.gauge("body_bytes", static_cast<double>(bodyMemory.used()));
-    metrics.gauge("generation", static_cast<double>(store.generation()));
-    metrics.gauge("peers_alive", static_cast<double>(fleet.alive(core::now()).size()));
+    metrics.setGauge("requests_in_progress", static_cast<double>(handlerContext.requestsInProgress));
+    metrics.setGauge("groups_held", static_cast<double>(groups.size()));
+    metrics.setGauge("asks_waiting", static_cast<double>(brokers.queuedCount()));
+    metrics.setGauge("body_bytes", static_cast<double>(bodyMemory.used()));
+    metrics.setGauge("generation", static_cast<double>(store.generation()));
+    metrics.setGauge("peers_alive", static_cast<double>(fleet.alivePeers(core::now()).size()));
 }
 
 Daemon::Daemon(const settings::DaemonSettings &settings)
@@ -322,12 +323,12 @@
 
 Daemon::~Daemon()
 {
-    m_impl->callers.reset();
-    m_impl->follower.reset();
+    m_impl->callerListener.reset();
+    m_impl->configUpdater.reset();
     m_impl->heartbeats.reset();
     m_impl->observer.reset();
-    m_impl->operators.reset();
-    m_impl->attempts.stop();
+    m_impl->adminListener.reset();
+    m_impl->attemptPool.stop();
 }
 
 const Identity &Daemon::identity() const noexcept
@@ -337,15 +338,15 @@
 
 void Daemon::drain()
 {
-    m_impl->fleet.setState(membership::DaemonState::Leaving);
+    m_impl->fleet.setState(membership::DaemonState::Draining);
     m_impl->heartbeats->sendNow();
-    core::log(core::LogLevel::Info, "draining", {{"inProgress", m_impl->runs.inProgress.load()}});
-    absl::SleepFor(NoticeTime);
-    m_impl->refusing = true;
-    while (m_impl->runs.inProgress > 0) {
-        absl::SleepFor(DrainPoll);
+    core::log(core::LogLevel::Info, "draining", {{"inProgress", m_impl->handlerContext.requestsInProgress.load()}});
+    absl::SleepFor(ReadinessNoticeTime);
+    m_impl->refusingRequests = true;
+    while (m_impl->handlerContext.requestsInProgress > 0) {
+        absl::SleepFor(DrainPollInterval);
     }
-    absl::SleepFor(LastWrites);
+    absl::SleepFor(FinalWriteTime);
     core::log(core::LogLevel::Info, "drained", nlohmann::json::object());
 }
 
--- a/src/daemon/decision_finder.cpp
+++ b/src/daemon/decision_finder.cpp
@@ -28,7 +28,8 @@
 
 } // namespace
 
-DecisionFinder::DecisionFinder(const explain::DecisionRing &decisions, const membership::Fleet &fleet, PeerCalls &peers)
+DecisionFinder::DecisionFinder(const explain::DecisionRing &decisions, const membership::Fleet &fleet,
+                               PeerClient &peers)
     : m_decisions(decisions)
     , m_fleet(fleet)
     , m_peers(peers)
@@ -40,25 +41,25 @@
         return toJson(*decision).dump();
     }
     const auto vm = vmOf(requestId);
-    if (scope == SearchScope::Here || vm == m_fleet.self()) {
+    if (scope == SearchScope::ThisDaemon || vm == m_fleet.self()) {
         return std::nullopt;
     }
     if (const auto peer = m_fleet.find(vm)) {
-        return ask(peer->news.rpcAddress, requestId, true);
+        return query(peer->report.rpcAddress, requestId, true);
     }
-    if (scope == SearchScope::OwnDomain) {
+    if (scope == SearchScope::LocalDomain) {
         return std::nullopt;
     }
-    for (const auto &domain : m_fleet.domains(now)) {
-        if (auto decision = ask(domain.rpcAddress, requestId, false)) {
+    for (const auto &domain : m_fleet.domainSummaries(now)) {
+        if (auto decision = query(domain.rpcAddress, requestId, false)) {
             return decision;
         }
     }
     return std::nullopt;
 }
 
-std::optional<std::string> DecisionFinder::ask(const core::Address &peer, const std::string &requestId,
-                                               bool forwarded) const
+std::optional<std::string> DecisionFinder::query(const core::Address &peer, const std::string &requestId,
+                                                 bool forwarded) const
 {
     try {
         return m_peers.explain(peer, requestId, forwarded);
--- a/src/daemon/error_body.cpp
+++ b/src/daemon/error_body.cpp
@@ -43,7 +43,7 @@
     return {refusal.reason(), core::Outcome::NotRun, refusal.what(), requestId, refusal.retryAfterSeconds()};
 }
 
-ErrorReply toReply(const dispatch::AttemptEnd &end, const std::string &requestId)
+ErrorReply toReply(const dispatch::AttemptResult &end, const std::string &requestId)
 {
     return {end.reason, end.outcome, end.detail, requestId, end.retryAfterSeconds};
 }
--- a/src/daemon/http_listener.cpp
+++ b/src/daemon/http_listener.cpp
@@ -19,13 +19,13 @@
 namespace
 {
 
-constexpr std::size_t MostOverflow = 256;
-constexpr int KeepAliveSeconds = 5;
-constexpr int ReadSeconds = 10;
-constexpr int Backlog = 512;
-constexpr std::size_t KeepAliveRequests = 1000;
+constexpr std::size_t MaxQueuedOverflow = 256;
+constexpr int KeepAliveTimeoutSeconds = 5;
+constexpr int IoTimeoutSeconds = 10;
+constexpr int ListenBacklog = 512;
+constexpr std::size_t MaxKeepAliveRequests = 1000;
 
-thread_local bool t_overloaded = false;
+thread_local bool t_isOverflowThread = false;
 
 /// Runs each connection on a thread of a bounded pool, and connections above the limit on one overflow thread.
 class BoundedTaskQueue : public httplib::TaskQueue
@@ -33,14 +33,14 @@
 public:
     explicit BoundedTaskQueue(std::size_t connections)
         : m_connections(connections, 0)
-        , m_overflow(1, MostOverflow)
+        , m_overflow(1, MaxQueuedOverflow)
     { }
 
     void enqueue(std::function<void()> task) override
     {
-        if (!m_connections.tryRun(task)) {
-            m_overflow.run([task = std::move(task)] {
-                t_overloaded = true;
+        if (!m_connections.trySubmit(task)) {
+            m_overflow.submit([task = std::move(task)] {
+                t_isOverflowThread = true;
                 task();
             });
         }
@@ -72,17 +72,17 @@
     , m_address(address)
 {
     auto &server = m_impl->server;
-    server.new_task_queue = [limits] { return new BoundedTaskQueue(limits.connections); };
-    server.set_payload_max_length(limits.bodyBytes);
-    server.set_keep_alive_timeout(KeepAliveSeconds);
-    server.set_keep_alive_max_count(KeepAliveRequests);
-    server.set_read_timeout(ReadSeconds);
-    server.set_write_timeout(ReadSeconds);
+    server.new_task_queue = [limits] { return new BoundedTaskQueue(limits.maxConnections); };
+    server.set_payload_max_length(limits.maxBodyBytes);
+    server.set_keep_alive_timeout(KeepAliveTimeoutSeconds);
+    server.set_keep_alive_max_count(MaxKeepAliveRequests);
+    server.set_read_timeout(IoTimeoutSeconds);
+    server.set_write_timeout(IoTimeoutSeconds);
     server.set_tcp_nodelay(true);
     server.set_socket_options([this](socket_t socket) {
-        const int yes = 1;
+        const int enable = 1;
         m_impl->socket = socket;
-        setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
+        setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof(enable));
     });
     configure(server);
     if (address.port == 0) {
@@ -93,7 +93,7 @@
     if (m_address.port == 0) {
         throw core::NetworkError(address.text() + ": cannot listen");
     }
-    listen(m_impl->socket, Backlog); // The library's backlog of 5 drops connections in a burst.
+    listen(m_impl->socket, ListenBacklog); // The library's backlog of 5 drops connections in a burst.
     m_impl->thread = std::thread([this] { m_impl->server.listen_after_bind(); });
     while (!server.is_running()) {
         std::this_thread::yield();
@@ -111,9 +111,9 @@
     return m_address;
 }
 
-bool HttpListener::overloaded() noexcept
+bool HttpListener::isOverloaded() noexcept
 {
-    return t_overloaded;
+    return t_isOverflowThread;
 }
 
 } // namespace spurlug::daemon
--- a/src/daemon/home_domain.cpp
+++ b/src/daemon/local_domain.cpp
@@ -3,7 +3,7 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "spurlug/daemon/home_domain.h"
+#include "spurlug/daemon/local_domain.h"
 
 #include "spurlug/daemon/roles.h"
 
@@ -13,15 +13,15 @@
 namespace spurlug::daemon
 {
 
-HomeDomain::HomeDomain(const Identity &identity, const config::Store &store, const membership::Fleet &fleet,
-                       const targets::TargetTable &targets)
+LocalDomain::LocalDomain(const Identity &identity, const config::Store &store, const membership::Fleet &fleet,
+                         const targets::TargetTable &targets)
     : m_identity(identity)
     , m_store(store)
     , m_fleet(fleet)
     , m_targets(targets)
 { }
 
-std::vector<targets::TargetView> HomeDomain::serving(const std::string &pool, core::Time now) const
+std::vector<targets::TargetView> LocalDomain::servingTargets(const std::string &pool, core::Time now) const
 {
     const auto configuration = m_store.current();
     const auto *spec = configuration ? configuration->poolNamed(pool) : nullptr;
@@ -38,39 +38,39 @@
     return views;
 }
 
-core::Address HomeDomain::brokerFor(const std::string &pool, int engines, core::Time now) const
+core::Address LocalDomain::brokerFor(const std::string &pool, int engines, core::Time now) const
 {
-    if (static_cast<std::int64_t>(serving(pool, now).size()) < engines) {
-        constexpr auto Fresh = absl::Seconds(20);
+    if (static_cast<std::int64_t>(servingTargets(pool, now).size()) < engines) {
+        constexpr auto MaxSummaryAge = absl::Seconds(20);
         const auto poolHash = targets::targetHash(pool);
-        for (const auto &domain : m_fleet.domains(now)) {
+        for (const auto &domain : m_fleet.domainSummaries(now)) {
             for (const auto &summary : domain.pools) {
-                if (domain.age < Fresh && summary.pool == poolHash && summary.usable >= engines
+                if (domain.age < MaxSummaryAge && summary.pool == poolHash && summary.usableTargets >= engines
                     && summary.broker.port != 0) {
                     return summary.broker;
                 }
             }
         }
     }
-    const auto holder = m_fleet.holder(brokerRole(pool), now);
+    const auto holder = m_fleet.roleHolder(brokerRole(pool), now);
     if (holder == m_identity.vm) {
         return m_identity.rpcAddress;
     }
     const auto peer = m_fleet.find(holder);
-    return peer ? peer->news.rpcAddress : core::Address{};
+    return peer ? peer->report.rpcAddress : core::Address{};
 }
 
-membership::DomainSummary HomeDomain::summary(core::Time now) const
+membership::DomainSummary LocalDomain::summary(core::Time now) const
 {
-    constexpr std::size_t BestTargets = 2;
+    constexpr std::size_t MaxBestTargets = 2;
     membership::DomainSummary summary;
     summary.failureDomain = m_identity.failureDomain;
     summary.rpcAddress = m_identity.rpcAddress;
-    summary.daemons = static_cast<std::int64_t>(m_fleet.roleHolders(now).size());
+    summary.daemonCount = static_cast<std::int64_t>(m_fleet.roleHolders(now).size());
     summary.lowestGeneration = m_store.generation();
-    for (const auto &peer : m_fleet.alive(now)) {
-        if (peer.news.failureDomain == m_identity.failureDomain) {
-            summary.lowestGeneration = std::min(summary.lowestGeneration, peer.news.generation);
+    for (const auto &peer : m_fleet.alivePeers(now)) {
+        if (peer.report.failureDomain == m_identity.failureDomain) {
+            summary.lowestGeneration = std::min(summary.lowestGeneration, peer.report.generation);
         }
     }
     const auto configuration = m_store.current();
@@ -78,17 +78,18 @@
         return summary;
     }
     for (const auto &pool : configuration->pools) {
-        const auto best = serving(pool.name, now);
-        membership::PoolSummary out;
-        out.pool = targets::targetHash(pool.name);
-        out.usable = static_cast<std::int64_t>(best.size());
-        for (std::size_t i = 0; i < std::min(best.size(), BestTargets); ++i) {
-            out.best.push_back({targets::targetHash(best[i].id), best[i].report, best[i].reportAge});
+        const auto usable = servingTargets(pool.name, now);
+        membership::PoolSummary poolSummary;
+        poolSummary.pool = targets::targetHash(pool.name);
+        poolSummary.usableTargets = static_cast<std::int64_t>(usable.size());
+        for (std::size_t i = 0; i < std::min(usable.size(), MaxBestTargets); ++i) {
+            poolSummary.leastLoaded.push_back(
+                {targets::targetHash(usable[i].id), usable[i].report, usable[i].reportAge});
         }
-        if (!best.empty()) {
-            out.broker = brokerFor(pool.name, 0, now);
+        if (!usable.empty()) {
+            poolSummary.broker = brokerFor(pool.name, 0, now);
         }
-        summary.pools.push_back(std::move(out));
+        summary.pools.push_back(std::move(poolSummary));
     }
     return summary;
 }
--- a/src/daemon/peer_calls.cpp
+++ b/src/daemon/peer_client.cpp
@@ -3,7 +3,7 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "spurlug/daemon/peer_calls.h"
+#include "spurlug/daemon/peer_client.h"
 
 #include "spurlug/core/error.h"
 #include "spurlug/core/text.h"
@@ -19,7 +19,7 @@
 
 constexpr auto CallTimeout = absl::Seconds(2);
 constexpr auto ClaimTimeout = absl::Seconds(10); // The owner may need several attempts.
-constexpr std::size_t MostChannels = 512;
+constexpr std::size_t MaxChannels = 512;
 
 void setDeadline(grpc::ClientContext &context, core::Duration timeout)
 {
@@ -35,16 +35,16 @@
 
 grpc::ChannelArguments channelArguments()
 {
-    constexpr int LongestBackoffMs = 2000;
+    constexpr int MaxBackoffMs = 2000;
     grpc::ChannelArguments arguments;
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, LongestBackoffMs);
+    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, MaxBackoffMs);
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     return arguments;
 }
 
 } // namespace
 
-struct PeerCalls::Channel
+struct PeerClient::Channel
 {
     explicit Channel(const std::string &address)
         : stub(wire::Peers::NewStub(
@@ -53,13 +53,13 @@
     std::unique_ptr<wire::Peers::Stub> stub;
 };
 
-PeerCalls::PeerCalls() = default;
-PeerCalls::~PeerCalls() = default;
+PeerClient::PeerClient() = default;
+PeerClient::~PeerClient() = default;
 
-std::shared_ptr<PeerCalls::Channel> PeerCalls::channel(const core::Address &peer)
+std::shared_ptr<PeerClient::Channel> PeerClient::channel(const core::Address &peer)
 {
     absl::MutexLock lock(&m_mutex);
-    if (m_channels.size() >= MostChannels) {
+    if (m_channels.size() >= MaxChannels) {
         m_channels.clear();
     }
     auto &channel = m_channels[peer.text()];
@@ -69,8 +69,8 @@
     return channel;
 }
 
-GrantAnswer PeerCalls::acquire(const core::Address &peer, const std::string &pool, const grants::Ask &ask,
-                               core::Duration waited, core::Duration wait)
+GrantAnswer PeerClient::acquireGrant(const core::Address &peer, const std::string &pool,
+                                     const grants::GrantRequest &ask, core::Duration waited, core::Duration wait)
 {
     wire::GrantRequest request;
     request.set_request_id(ask.requestId);
@@ -86,7 +86,7 @@
     wire::GrantReply reply;
     throwUnlessOk(channel(peer)->stub->Acquire(&context, request, &reply));
     GrantAnswer answer;
-    answer.place = reply.place();
+    answer.queuePosition = reply.place();
     answer.notBroker = reply.not_broker();
     if (reply.granted()) {
         answer.grant
@@ -95,17 +95,17 @@
     return answer;
 }
 
-bool PeerCalls::renew(const core::Address &peer, std::uint64_t grant)
+bool PeerClient::renewGrant(const core::Address &peer, std::uint64_t grant)
 {
     wire::GrantIds request;
     request.add_grants(grant);
     grpc::ClientContext context;
     setDeadline(context, CallTimeout);
-    wire::GrantIds kept;
-    return channel(peer)->stub->Renew(&context, request, &kept).ok() && kept.grants_size() == 1;
+    wire::GrantIds renewed;
+    return channel(peer)->stub->Renew(&context, request, &renewed).ok() && renewed.grants_size() == 1;
 }
 
-void PeerCalls::release(const core::Address &peer, std::uint64_t grant)
+void PeerClient::releaseGrant(const core::Address &peer, std::uint64_t grant)
 {
     wire::GrantIds request;
     request.add_grants(grant);
@@ -115,7 +115,7 @@
     [[maybe_unused]] const auto status = channel(peer)->stub->Release(&context, request, &reply);
 }
 
-claims::ClaimAnswer PeerCalls::claim(const core::Address &peer, const claims::ClaimWish &wish)
+claims::ClaimAnswer PeerClient::claim(const core::Address &peer, const claims::ClaimWish &wish)
 {
     wire::ClaimRequest request;
     request.set_name(wish.name);
@@ -135,7 +135,7 @@
     }
 }
 
-std::string PeerCalls::fetchRoot(const core::Address &peer)
+std::string PeerClient::fetchRoot(const core::Address &peer)
 {
     grpc::ClientContext context;
     setDeadline(context, CallTimeout);
@@ -144,7 +144,7 @@
     return reply.root();
 }
 
-config::PartTexts PeerCalls::fetchParts(const core::Address &peer, const std::vector<std::string> &hashes)
+config::PartTexts PeerClient::fetchParts(const core::Address &peer, const std::vector<std::string> &hashes)
 {
     wire::FetchPartsRequest request;
     request.mutable_hashes()->Assign(hashes.begin(), hashes.end());
@@ -155,7 +155,7 @@
     return {reply.texts().begin(), reply.texts().end()};
 }
 
-std::optional<std::string> PeerCalls::explain(const core::Address &peer, const std::string &requestId, bool forwarded)
+std::optional<std::string> PeerClient::explain(const core::Address &peer, const std::string &requestId, bool forwarded)
 {
     wire::ExplainRequest request;
     request.set_request_id(requestId);
--- a/src/daemon/peer_server.cpp
+++ b/src/daemon/peer_server.cpp
@@ -21,31 +21,32 @@
 namespace
 {
 
-constexpr std::int64_t LongestWaitMs = 10'000;
-constexpr std::uint32_t MostEngines = 64;
+constexpr std::int64_t MaxWaitMs = 10'000;
+constexpr std::uint32_t MaxEngines = 64;
 
-grpc::ServerUnaryReactor *finish(grpc::CallbackServerContext *context, const grpc::Status &status = grpc::Status::OK)
+grpc::ServerUnaryReactor *finishCall(grpc::CallbackServerContext *context,
+                                     const grpc::Status &status = grpc::Status::OK)
 {
     auto *reactor = context->DefaultReactor();
     reactor->Finish(status);
     return reactor;
 }
 
-grants::Ask readAsk(const wire::GrantRequest &request, core::Time now)
+grants::GrantRequest readGrantRequest(const wire::GrantRequest &request, core::Time now)
 {
-    grants::Ask ask;
+    grants::GrantRequest ask;
     ask.requestId = request.request_id();
     ask.organisation = request.organisation();
     ask.weight = std::max(request.weight(), 0.001);
     ask.tokens = static_cast<std::int64_t>(request.tokens());
-    ask.engines = static_cast<int>(std::clamp(request.engines(), 1U, MostEngines));
-    ask.askedAt = now - core::fromMs(request.waited_ms());
+    ask.engines = static_cast<int>(std::clamp(request.engines(), 1U, MaxEngines));
+    ask.waitingSince = now - core::fromMs(request.waited_ms());
     return ask;
 }
 
-void writeAnswer(const grants::AskAnswer &answer, wire::GrantReply &reply)
+void writeGrantReply(const grants::GrantReply &answer, wire::GrantReply &reply)
 {
-    reply.set_place(static_cast<std::uint32_t>(answer.place));
+    reply.set_place(static_cast<std::uint32_t>(answer.queuePosition));
     reply.set_granted(answer.grant.has_value());
     if (answer.grant) {
         reply.set_grant(answer.grant->id);
@@ -69,93 +70,93 @@
 class PeersService final : public wire::Peers::CallbackService
 {
 public:
-    explicit PeersService(PeerServerParts parts)
-        : m_parts(parts)
+    explicit PeersService(PeerServerComponents components)
+        : m_components(components)
     { }
 
     grpc::ServerUnaryReactor *Acquire(grpc::CallbackServerContext *context, const wire::GrantRequest *request,
                                       wire::GrantReply *reply) override
     {
-        m_parts.metrics.count(metrics::Counter::RpcCalls);
+        m_components.metrics.count(metrics::Counter::RpcCalls);
         const auto now = core::now();
-        if (m_parts.fleet.holder(brokerRole(request->pool()), now) != m_parts.fleet.self()) {
+        if (m_components.fleet.roleHolder(brokerRole(request->pool()), now) != m_components.fleet.self()) {
             reply->set_not_broker(true);
-            return finish(context);
+            return finishCall(context);
         }
         auto *reactor = context->DefaultReactor();
-        const auto wait = core::fromMs(std::min<std::int64_t>(request->wait_ms(), LongestWaitMs));
-        const auto onAnswer = [reactor, reply](const grants::AskAnswer &answer) {
-            writeAnswer(answer, *reply);
+        const auto wait = core::fromMs(std::min<std::int64_t>(request->wait_ms(), MaxWaitMs));
+        const auto onAnswer = [reactor, reply](const grants::GrantReply &answer) {
+            writeGrantReply(answer, *reply);
             reactor->Finish(grpc::Status::OK);
         };
-        m_parts.brokers.ask(request->pool(), readAsk(*request, now), wait, onAnswer, now);
+        m_components.brokers.enqueue(request->pool(), readGrantRequest(*request, now), wait, onAnswer, now);
         return reactor;
     }
 
     grpc::ServerUnaryReactor *Renew(grpc::CallbackServerContext *context, const wire::GrantIds *request,
                                     wire::GrantIds *reply) override
     {
-        m_parts.metrics.count(metrics::Counter::RpcCalls);
+        m_components.metrics.count(metrics::Counter::RpcCalls);
         for (const auto grant : request->grants()) {
-            if (m_parts.brokers.renew(grant, core::now())) {
+            if (m_components.brokers.renew(grant, core::now())) {
                 reply->add_grants(grant);
             }
         }
-        return finish(context);
+        return finishCall(context);
     }
 
     grpc::ServerUnaryReactor *Release(grpc::CallbackServerContext *context, const wire::GrantIds *request,
                                       wire::GrantIds * /*reply*/) override
     {
-        m_parts.metrics.count(metrics::Counter::RpcCalls);
+        m_components.metrics.count(metrics::Counter::RpcCalls);
         for (const auto grant : request->grants()) {
-            m_parts.brokers.release(grant);
+            m_components.brokers.release(grant);
         }
-        return finish(context);
+        return finishCall(context);
     }
 
     grpc::ServerUnaryReactor *Claim(grpc::CallbackServerContext *context, const wire::ClaimRequest *request,
                                     wire::ClaimReply *reply) override
     {
-        m_parts.metrics.count(metrics::Counter::RpcCalls);
+        m_components.metrics.count(metrics::Counter::RpcCalls);
         auto *reactor = context->DefaultReactor();
         const auto onAnswer = [reactor, reply](const claims::ClaimAnswer &answer) {
             reply->set_result(toWire(answer.result));
             reply->set_holder(answer.holder);
             reactor->Finish(grpc::Status::OK);
         };
-        m_parts.claims.wish({request->name(), request->request_id(), request->give_back()}, onAnswer);
+        m_components.claims.submit({request->name(), request->request_id(), request->give_back()}, onAnswer);
         return reactor;
     }
 
     grpc::ServerUnaryReactor *FetchRoot(grpc::CallbackServerContext *context,
                                         const wire::FetchRootRequest * /*request*/, wire::RootReply *reply) override
     {
-        m_parts.metrics.count(metrics::Counter::RpcCalls);
-        reply->set_root(m_parts.store.rootText());
-        reply->set_generation(static_cast<std::uint64_t>(m_parts.store.generation()));
-        return finish(context);
+        m_components.metrics.count(metrics::Counter::RpcCalls);
+        reply->set_root(m_components.store.rootText());
+        reply->set_generation(static_cast<std::uint64_t>(m_components.store.generation()));
+        return finishCall(context);
     }
 
     grpc::ServerUnaryReactor *FetchParts(grpc::CallbackServerContext *context, const wire::FetchPartsRequest *request,
                                          wire::PartsReply *reply) override
     {
-        m_parts.metrics.count(metrics::Counter::RpcCalls);
-        for (auto &[hash, text] : m_parts.store.texts({request->hashes().begin(), request->hashes().end()})) {
+        m_components.metrics.count(metrics::Counter::RpcCalls);
+        for (auto &[hash, text] : m_components.store.texts({request->hashes().begin(), request->hashes().end()})) {
             (*reply->mutable_texts())[hash] = text;
         }
-        return finish(context);
+        return finishCall(context);
     }
 
     /// The search may call a peer, so it runs on a separate pool and does not block a gRPC thread.
     grpc::ServerUnaryReactor *Explain(grpc::CallbackServerContext *context, const wire::ExplainRequest *request,
                                       wire::ExplainReply *reply) override
     {
-        m_parts.metrics.count(metrics::Counter::RpcCalls);
+        m_components.metrics.count(metrics::Counter::RpcCalls);
         auto *reactor = context->DefaultReactor();
-        const bool started = m_searches.tryRun([this, reactor, request, reply] {
-            const auto scope = request->forwarded() ? SearchScope::Here : SearchScope::OwnDomain;
-            const auto decision = m_parts.finder.find(request->request_id(), scope, core::now());
+        const bool started = m_searchPool.trySubmit([this, reactor, request, reply] {
+            const auto scope = request->forwarded() ? SearchScope::ThisDaemon : SearchScope::LocalDomain;
+            const auto decision = m_components.finder.find(request->request_id(), scope, core::now());
             reply->set_found(decision.has_value());
             reply->set_decision(decision.value_or(""));
             reactor->Finish(grpc::Status::OK);
@@ -167,23 +168,23 @@
     }
 
 private:
-    PeerServerParts m_parts;
-    core::WorkerPool m_searches{2, 16};
+    PeerServerComponents m_components;
+    core::WorkerPool m_searchPool{2, 16};
 };
 
 } // namespace
 
 struct PeerServer::Impl
 {
-    explicit Impl(PeerServerParts parts)
-        : service(parts)
+    explicit Impl(PeerServerComponents components)
+        : service(components)
     { }
     PeersService service;
     std::unique_ptr<grpc::Server> server;
 };
 
-PeerServer::PeerServer(const core::Address &address, PeerServerParts parts)
-    : m_impl(std::make_unique<Impl>(parts))
+PeerServer::PeerServer(const core::Address &address, PeerServerComponents components)
+    : m_impl(std::make_unique<Impl>(components))
     , m_address(address)
 {
     int port = 0;
--- a/src/daemon/service_response.h
+++ b/src/daemon/service_response.h
@@ -6,7 +6,7 @@
 
 #include "spurlug/core/text.h"
 #include "spurlug/daemon/error_body.h"
-#include "spurlug/daemon/run_guard.h"
+#include "spurlug/daemon/request_guard.h"
 
 #include <httplib.h>
 #include <memory>
@@ -17,38 +17,38 @@
 {
 
 /// \brief Response bodies below this size are buffered and sent with a content length; larger ones are sent in chunks.
-inline constexpr std::size_t PlainBytesHeld = 256U << 10;
+inline constexpr std::size_t MaxBufferedBytes = 256U << 10;
 
 /// \brief Writes the response of a plain service to the caller.
 class ServiceResponse
 {
 public:
-    explicit ServiceResponse(std::shared_ptr<RunGuard> guard)
+    explicit ServiceResponse(std::shared_ptr<RequestGuard> guard)
         : m_guard(std::move(guard))
     { }
 
     /// \brief Sends a small response with a content length and a large one in chunks.
     static void write(const std::shared_ptr<ServiceResponse> &self, httplib::Response &response)
     {
-        while (self->m_held.size() < PlainBytesHeld) {
-            auto output = self->m_guard->run->next(CallerLookInterval);
+        while (self->m_buffer.size() < MaxBufferedBytes) {
+            auto output = self->m_guard->handler->next(CallerCheckInterval);
             if (const auto *head = std::get_if<dispatch::HeadEvent>(&output)) {
                 self->writeHead(*head, response);
             } else if (auto *bytes = std::get_if<dispatch::BytesEvent>(&output)) {
-                self->m_held += bytes->bytes;
+                self->m_buffer += bytes->bytes;
             } else if (std::holds_alternative<dispatch::Finished>(output)) {
                 response.set_header("Spurlug-Outcome", std::string(core::nameOf(core::Outcome::Completed)));
-                response.set_content(self->m_held, self->m_contentType);
+                response.set_content(self->m_buffer, self->m_contentType);
                 return;
             } else if (const auto *failed = std::get_if<dispatch::Failed>(&output)) {
                 response.headers.clear();
-                response.set_header("Request-Id", self->m_guard->run->request().id);
-                writeError(response, toReply(failed->end, self->m_guard->run->request().id));
+                response.set_header("Request-Id", self->m_guard->handler->request().id);
+                writeError(response, toReply(failed->result, self->m_guard->handler->request().id));
                 return;
             }
         }
         response.set_chunked_content_provider(
-            self->m_contentType, [self](std::size_t, httplib::DataSink &sink) { return self->pump(sink); });
+            self->m_contentType, [self](std::size_t, httplib::DataSink &sink) { return self->writeNext(sink); });
     }
 
 private:
@@ -56,7 +56,7 @@
     {
         response.status = head.status;
         for (const auto &[name, value] : head.headers) {
-            if (core::equalIgnoringCase(name, "Content-Type")) {
+            if (core::equalsIgnoreCase(name, "Content-Type")) {
                 m_contentType = value;
             } else {
                 response.set_header(name.c_str(), value);
@@ -65,13 +65,13 @@
     }
 
     /// Once the head has been sent, a failure can be signalled only by closing the connection before the last chunk.
-    bool pump(httplib::DataSink &sink)
+    bool writeNext(httplib::DataSink &sink)
     {
-        if (!m_held.empty()) {
-            const auto held = std::exchange(m_held, {});
-            return sink.write(held.data(), held.size());
+        if (!m_buffer.empty()) {
+            const auto buffered = std::exchange(m_buffer, {});
+            return sink.write(buffered.data(), buffered.size());
         }
-        auto output = m_guard->run->next(CallerLookInterval);
+        auto output = m_guard->handler->next(CallerCheckInterval);
         if (const auto *bytes = std::get_if<dispatch::BytesEvent>(&output)) {
             return sink.write(bytes->bytes.data(), bytes->bytes.size());
         }
@@ -82,8 +82,8 @@
         return !std::holds_alternative<dispatch::Failed>(output) && sink.is_writable();
     }
 
-    std::shared_ptr<RunGuard> m_guard;
-    std::string m_held;
+    std::shared_ptr<RequestGuard> m_guard;
+    std::string m_buffer;
     std::string m_contentType = "application/octet-stream";
 };
 
--- a/src/dispatch/retry.cpp
+++ b/src/dispatch/retry.cpp
@@ -10,47 +10,47 @@
 namespace spurlug::dispatch
 {
 
-RetryDecision decideRetry(const RetryState &state, const AttemptEnd &end, const RetryRule &rule, double jitter,
-                          core::Time now)
+RetryDecision decideRetry(const RetryState &state, const AttemptResult &result, const RetryPolicy &policy,
+                          double jitter, core::Time now)
 {
     using core::Outcome;
     using core::Reason;
-    if (end.outcome == Outcome::Completed || end.reason == Reason::CallerGone) {
+    if (result.outcome == Outcome::Completed || result.reason == Reason::CallerDisconnected) {
         return {};
     }
-    if (end.outcome == Outcome::MayHaveRun && !state.repeatable) {
+    if (result.outcome == Outcome::MayHaveRun && !state.repeatable) {
         return {false, {}, Reason::NotRepeatable};
     }
-    if (state.attempts >= rule.mostAttempts) {
+    if (state.attemptsMade >= policy.maxAttempts) {
         return {false, {}, Reason::RetryBudget};
     }
-    const auto full = std::min(rule.firstDelay * (1 << (state.attempts - 1)), rule.longestDelay);
-    const auto delay = full / 2 + full / 2 * jitter;
+    const auto backoff = std::min(policy.initialDelay * (1 << (state.attemptsMade - 1)), policy.maxDelay);
+    const auto delay = backoff / 2 + backoff / 2 * jitter;
     if (now + delay >= state.deadline) {
         return {false, {}, Reason::DeadlinePassed};
     }
     return {true, delay, Reason::None};
 }
 
-RetryBudget::RetryBudget(double share, double most)
-    : m_share(share)
-    , m_most(most)
-    , m_saved(most)
+RetryBudget::RetryBudget(double retriesPerRequest, double maxRetries)
+    : m_retriesPerRequest(retriesPerRequest)
+    , m_maxRetries(maxRetries)
+    , m_availableRetries(maxRetries)
 { }
 
 void RetryBudget::deposit()
 {
     absl::MutexLock lock(&m_mutex);
-    m_saved = std::min(m_most, m_saved + m_share);
+    m_availableRetries = std::min(m_maxRetries, m_availableRetries + m_retriesPerRequest);
 }
 
 bool RetryBudget::withdraw()
 {
     absl::MutexLock lock(&m_mutex);
-    if (m_saved < 1) {
+    if (m_availableRetries < 1) {
         return false;
     }
-    m_saved -= 1;
+    m_availableRetries -= 1;
     return true;
 }
 
--- a/src/dispatch/sse.cpp
+++ b/src/dispatch/sse.cpp
@@ -26,12 +26,12 @@
     return value;
 }
 
-bool readField(std::string_view line, std::string_view name, std::string &into)
+bool readField(std::string_view line, std::string_view name, std::string &value)
 {
     if (!line.starts_with(name)) {
         return false;
     }
-    into = fieldValue(line, name);
+    value = fieldValue(line, name);
     return true;
 }
 
@@ -42,8 +42,8 @@
         const auto lineEnd = std::min(block.find('\n'), block.size());
         const auto line = block.substr(0, lineEnd);
         block.remove_prefix(std::min(lineEnd + 1, block.size()));
-        [[maybe_unused]] const bool known = readField(line, "data:", event.data) || readField(line, "id:", event.id)
-            || readField(line, "event:", event.name);
+        [[maybe_unused]] const bool isKnownField = readField(line, "data:", event.data)
+            || readField(line, "id:", event.id) || readField(line, "event:", event.name);
     }
     return event;
 }
@@ -52,9 +52,9 @@
 
 void SseParser::feed(std::string_view bytes)
 {
-    if (m_start > 0) {
-        m_buffer.erase(0, m_start);
-        m_start = 0;
+    if (m_parsedBytes > 0) {
+        m_buffer.erase(0, m_parsedBytes);
+        m_parsedBytes = 0;
     }
     m_buffer.append(bytes);
 }
@@ -62,12 +62,12 @@
 std::optional<SseEvent> SseParser::next()
 {
     while (true) {
-        const auto end = m_buffer.find(Separator, m_start);
+        const auto end = m_buffer.find(Separator, m_parsedBytes);
         if (end == std::string::npos) {
             return std::nullopt;
         }
-        const auto block = std::string_view(m_buffer).substr(m_start, end - m_start);
-        m_start = end + Separator.size();
+        const auto block = std::string_view(m_buffer).substr(m_parsedBytes, end - m_parsedBytes);
+        m_parsedBytes = end + Separator.size();
         auto event = parseEvent(block);
         if (!event.data.empty() || !event.name.empty()) {
             return event;
--- a/src/dispatch/target_client.cpp
+++ b/src/dispatch/target_client.cpp
@@ -22,19 +22,20 @@
 
 constexpr int Ok = 200;
 constexpr int FirstServerError = 500;
-constexpr std::string_view RanHeader = "Request-Ran"; // Sent by the target; "no" if it did not start the request.
+constexpr std::string_view RequestRanHeader
+    = "Request-Ran"; // Sent by the target; "no" if it did not start the request.
 
 /// What has been received from the target so far.
-struct Progress
+struct ResponseProgress
 {
     int status = 0;
-    bool refusedUnrun = false;
+    bool refusedBeforeStart = false;
     int retryAfterSeconds = 0;
     bool finished = false;
     std::string errorBody;
 };
 
-httplib::Request makeRequest(const AttemptRequest &attempt, Progress &progress)
+httplib::Request makeRequest(const AttemptRequest &attempt, ResponseProgress &progress)
 {
     httplib::Request request;
     request.method = attempt.method;
@@ -54,9 +55,9 @@
     }
     request.response_handler = [&progress](const httplib::Response &response) {
         progress.status = response.status;
-        progress.refusedUnrun = response.get_header_value(std::string(RanHeader).c_str()) == "no";
+        progress.refusedBeforeStart = response.get_header_value(std::string(RequestRanHeader).c_str()) == "no";
         [[maybe_unused]] const bool isNumber
-            = core::readNumber(response.get_header_value("Retry-After"), progress.retryAfterSeconds);
+            = core::parseInteger(response.get_header_value("Retry-After"), progress.retryAfterSeconds);
         return true;
     };
     return request;
@@ -69,20 +70,20 @@
     return error == httplib::Error::Connection || error == httplib::Error::ConnectionTimeout;
 }
 
-AttemptEnd endOfFailure(httplib::Error error, const Progress &progress)
+AttemptResult resultOfError(httplib::Error error, const ResponseProgress &progress)
 {
     const auto detail = httplib::to_string(error);
     if (provesNothingSent(error)) {
         return {Outcome::NotRun, Reason::ConnectFailed, 0, detail, true};
     }
-    const auto reason = progress.status == 0 ? Reason::TargetFailed : Reason::StreamCut;
+    const auto reason = progress.status == 0 ? Reason::TargetFailed : Reason::StreamInterrupted;
     return {Outcome::MayHaveRun, reason, progress.status, detail, true};
 }
 
-AttemptEnd endOfStatus(const Progress &progress)
+AttemptResult resultOfStatus(const ResponseProgress &progress)
 {
     const auto detail = core::cat("status ", progress.status, " ", progress.errorBody.substr(0, 200));
-    if (progress.refusedUnrun) {
+    if (progress.refusedBeforeStart) {
         return {Outcome::NotRun,
                 Reason::TargetRefused,
                 progress.status,
@@ -109,10 +110,10 @@
     return result;
 }
 
-bool pushEngineEvent(const SseEvent &event, EventChannel &events, Progress &progress)
+bool pushEngineEvent(const SseEvent &event, EventChannel &events, ResponseProgress &progress)
 {
     std::int64_t offset = 0;
-    if (!core::readNumber(event.id, offset)) {
+    if (!core::parseInteger(event.id, offset)) {
         return true;
     }
     if (event.name == "finish") {
@@ -122,14 +123,14 @@
     return events.push(TokenEvent{offset, event.data});
 }
 
-HeadEvent headOf(const httplib::Response &response)
+HeadEvent toHeadEvent(const httplib::Response &response)
 {
     HeadEvent head{response.status, {}};
     for (const auto &[name, value] : response.headers) {
-        const bool ofConnection = core::equalIgnoringCase(name, "Connection")
-            || core::equalIgnoringCase(name, "Keep-Alive") || core::equalIgnoringCase(name, "Transfer-Encoding")
-            || core::equalIgnoringCase(name, "Content-Length");
-        if (!ofConnection) {
+        const bool isConnectionHeader = core::equalsIgnoreCase(name, "Connection")
+            || core::equalsIgnoreCase(name, "Keep-Alive") || core::equalsIgnoreCase(name, "Transfer-Encoding")
+            || core::equalsIgnoreCase(name, "Content-Length");
+        if (!isConnectionHeader) {
             head.headers.emplace_back(name, value);
         }
     }
@@ -140,7 +141,7 @@
 
 void EngineClient::run(const AttemptRequest &attempt, EventChannel &events) const
 {
-    Progress progress;
+    ResponseProgress progress;
     SseParser parser;
     auto request = makeRequest(attempt, progress);
     request.content_receiver = [&](const char *data, std::size_t size, std::uint64_t, std::uint64_t) {
@@ -158,35 +159,35 @@
     };
     const auto result = send(attempt, request, events);
     if (progress.finished) {
-        events.push(AttemptEnd{Outcome::Completed, Reason::None, progress.status, {}, false});
+        events.push(AttemptResult{Outcome::Completed, Reason::None, progress.status, {}, false});
     } else if (!result) {
-        events.push(endOfFailure(result.error(), progress));
+        events.push(resultOfError(result.error(), progress));
     } else if (progress.status == Ok) {
-        events.push(AttemptEnd{Outcome::MayHaveRun, Reason::StreamCut, Ok, "the stream ended early", true});
+        events.push(AttemptResult{Outcome::MayHaveRun, Reason::StreamInterrupted, Ok, "the stream ended early", true});
     } else {
-        events.push(endOfStatus(progress));
+        events.push(resultOfStatus(progress));
     }
 }
 
 void ServiceClient::run(const AttemptRequest &attempt, EventChannel &events) const
 {
-    Progress progress;
+    ResponseProgress progress;
     auto request = makeRequest(attempt, progress);
-    request.response_handler = [&, note = request.response_handler](const httplib::Response &response) {
-        note(response);
-        return progress.refusedUnrun || events.push(headOf(response));
+    request.response_handler = [&, recordHead = request.response_handler](const httplib::Response &response) {
+        recordHead(response);
+        return progress.refusedBeforeStart || events.push(toHeadEvent(response));
     };
     request.content_receiver = [&](const char *data, std::size_t size, std::uint64_t, std::uint64_t) {
-        return progress.refusedUnrun || events.push(BytesEvent{std::string(data, size)});
+        return progress.refusedBeforeStart || events.push(BytesEvent{std::string(data, size)});
     };
     const auto result = send(attempt, request, events);
     if (!result) {
-        events.push(endOfFailure(result.error(), progress));
-    } else if (progress.refusedUnrun) {
-        events.push(endOfStatus(progress));
+        events.push(resultOfError(result.error(), progress));
+    } else if (progress.refusedBeforeStart) {
+        events.push(resultOfStatus(progress));
     } else {
         const bool failed = progress.status >= FirstServerError;
-        events.push(AttemptEnd{Outcome::Completed, Reason::None, progress.status, {}, failed});
+        events.push(AttemptResult{Outcome::Completed, Reason::None, progress.status, {}, failed});
     }
 }
 
--- a/src/explain/decision_ring.cpp
+++ b/src/explain/decision_ring.cpp
@@ -15,26 +15,26 @@
 namespace
 {
 
-nlohmann::ordered_json msOrNull(core::Duration span)
+nlohmann::ordered_json msOrNull(core::Duration duration)
 {
-    if (span == absl::InfiniteDuration()) {
+    if (duration == absl::InfiniteDuration()) {
         return nullptr;
     }
-    return absl::ToDoubleMilliseconds(span);
+    return absl::ToDoubleMilliseconds(duration);
 }
 
 nlohmann::ordered_json toJson(const routing::Candidate &candidate)
 {
-    nlohmann::ordered_json out{{"target", candidate.id}, {"expectedTtftMs", msOrNull(candidate.expected)}};
+    nlohmann::ordered_json out{{"target", candidate.id}, {"expectedTtftMs", msOrNull(candidate.estimatedTtft)}};
     if (!candidate.usable) {
-        out["notUsed"] = candidate.why;
+        out["notUsed"] = candidate.unusableReason;
     }
     return out;
 }
 
 nlohmann::ordered_json toJson(const AttemptRecord &attempt)
 {
-    nlohmann::ordered_json out{{"atMs", msOrNull(attempt.at)},
+    nlohmann::ordered_json out{{"atMs", msOrNull(attempt.startedAfter)},
                                {"chosen", attempt.chosen},
                                {"outcome", core::nameOf(attempt.outcome)},
                                {"reason", core::nameOf(attempt.reason)}};
@@ -57,11 +57,11 @@
                                {"class", decision.requestClass},
                                {"route", decision.route},
                                {"generation", decision.generation},
-                               {"promptTokens", decision.tokens},
+                               {"promptTokens", decision.promptTokens},
                                {"engines", decision.engines},
                                {"deadlineMs", msOrNull(decision.deadline)},
                                {"waitedForGrantMs", msOrNull(decision.waitedForGrant)},
-                               {"firstTokenMs", msOrNull(decision.firstToken)},
+                               {"firstTokenMs", msOrNull(decision.timeToFirstToken)},
                                {"totalMs", msOrNull(decision.total)},
                                {"outcome", core::nameOf(decision.outcome)},
                                {"reason", core::nameOf(decision.reason)}};
@@ -79,32 +79,32 @@
 void DecisionRing::add(Decision decision)
 {
     absl::MutexLock lock(&m_mutex);
-    m_numbers[decision.requestId] = m_first + m_decisions.size();
+    m_numberByRequest[decision.requestId] = m_firstNumber + m_decisions.size();
     m_decisions.push_back(std::move(decision));
     if (m_decisions.size() > m_capacity) {
-        m_numbers.erase(m_decisions.front().requestId);
+        m_numberByRequest.erase(m_decisions.front().requestId);
         m_decisions.pop_front();
-        ++m_first;
+        ++m_firstNumber;
     }
 }
 
 std::optional<Decision> DecisionRing::find(const std::string &requestId) const
 {
     absl::MutexLock lock(&m_mutex);
-    const auto number = m_numbers.find(requestId);
-    if (number == m_numbers.end()) {
+    const auto number = m_numberByRequest.find(requestId);
+    if (number == m_numberByRequest.end()) {
         return std::nullopt;
     }
-    return m_decisions[number->second - m_first];
+    return m_decisions[number->second - m_firstNumber];
 }
 
-std::pair<std::vector<Decision>, std::uint64_t> DecisionRing::since(std::uint64_t after, std::size_t most) const
+std::pair<std::vector<Decision>, std::uint64_t> DecisionRing::decisionsAfter(std::uint64_t after, std::size_t max) const
 {
     std::vector<Decision> found;
     absl::MutexLock lock(&m_mutex);
-    const auto start = std::max(after + 1, m_first);
-    for (auto number = start; number < m_first + m_decisions.size() && found.size() < most; ++number) {
-        found.push_back(m_decisions[number - m_first]);
+    const auto start = std::max(after + 1, m_firstNumber);
+    for (auto number = start; number < m_firstNumber + m_decisions.size() && found.size() < max; ++number) {
+        found.push_back(m_decisions[number - m_firstNumber]);
     }
     return {std::move(found), start + found.size() - 1};
 }
--- a/src/grants/broker.cpp
+++ b/src/grants/broker.cpp
@@ -18,7 +18,7 @@
 
 bool usable(const targets::TargetView &engine, const BrokerRule &rule)
 {
-    return engine.report.condition == targets::TargetCondition::Serving && engine.reportAge <= rule.reportStale
+    return engine.report.condition == targets::TargetCondition::Serving && engine.reportAge <= rule.maxReportAge
         && !engine.ejected;
 }
 
@@ -29,38 +29,38 @@
     , m_nextGrant(firstGrant)
 { }
 
-void Broker::ask(const Ask &ask, core::Time now)
+void Broker::enqueue(const GrantRequest &ask, core::Time now)
 {
     if (!grantOf(ask.requestId)) {
-        m_waiting[ask.requestId] = Waiting{ask, now};
+        m_queue[ask.requestId] = QueuedRequest{ask, now};
     }
 }
 
-void Broker::withdraw(const std::string &requestId)
+void Broker::dequeue(const std::string &requestId)
 {
-    m_waiting.erase(requestId);
+    m_queue.erase(requestId);
 }
 
-void Broker::serve(const std::vector<targets::TargetView> &engines, double longShare, core::Time now)
+void Broker::grantEngines(const std::vector<targets::TargetView> &engines, double maxLongFraction, core::Time now)
 {
     expire(now);
     const auto total = static_cast<std::size_t>(
         std::count_if(engines.begin(), engines.end(), [this](const auto &engine) { return usable(engine, m_rule); }));
-    const auto share = static_cast<std::size_t>(std::floor(longShare * static_cast<double>(total)));
-    std::vector<Ask> order;
-    for (const auto *waiting : inOrder(now)) {
-        order.push_back(waiting->ask);
+    const auto maxOccupied = static_cast<std::size_t>(std::floor(maxLongFraction * static_cast<double>(total)));
+    std::vector<GrantRequest> order;
+    for (const auto *waiting : rankedQueue(now)) {
+        order.push_back(waiting->request);
     }
-    for (const auto &ask : order) {
+    for (const auto &request : order) {
         auto free = freeEngines(engines);
-        const auto wanted = static_cast<std::size_t>(ask.engines);
-        const bool withinShare = occupied() + wanted <= std::max<std::size_t>(share, 1);
-        const bool alone = occupied() == 0;
-        if (free.size() < wanted || !(withinShare || alone)) {
+        const auto needed = static_cast<std::size_t>(request.engines);
+        const bool withinLimit = occupiedEngines() + needed <= std::max<std::size_t>(maxOccupied, 1);
+        const bool alone = occupiedEngines() == 0;
+        if (free.size() < needed || !(withinLimit || alone)) {
             return;
         }
-        free.resize(wanted);
-        grant(ask, std::move(free), now);
+        free.resize(needed);
+        issueGrant(request, std::move(free), now);
     }
 }
 
@@ -89,20 +89,21 @@
     return std::nullopt;
 }
 
-std::size_t Broker::place(const std::string &requestId, core::Time now) const
+std::size_t Broker::queuePosition(const std::string &requestId, core::Time now) const
 {
-    const auto order = inOrder(now);
-    const auto found = std::find_if(order.begin(), order.end(),
-                                    [&](const Waiting *waiting) { return waiting->ask.requestId == requestId; });
+    const auto order = rankedQueue(now);
+    const auto found = std::find_if(order.begin(), order.end(), [&](const QueuedRequest *waiting) {
+        return waiting->request.requestId == requestId;
+    });
     return static_cast<std::size_t>(found - order.begin());
 }
 
-std::size_t Broker::waiting() const noexcept
+std::size_t Broker::queuedCount() const noexcept
 {
-    return m_waiting.size();
+    return m_queue.size();
 }
 
-std::size_t Broker::occupied() const noexcept
+std::size_t Broker::occupiedEngines() const noexcept
 {
     std::size_t count = 0;
     for (const auto &[id, grant] : m_grants) {
@@ -113,26 +114,26 @@
 
 void Broker::expire(core::Time now)
 {
-    std::erase_if(m_waiting, [&](const auto &item) { return now - item.second.refreshedAt > m_rule.askTtl; });
+    std::erase_if(m_queue, [&](const auto &item) { return now - item.second.refreshedAt > m_rule.requestTtl; });
     std::erase_if(m_grants, [&](const auto &item) { return item.second.expiresAt < now; });
 }
 
-double Broker::rank(const Ask &ask, core::Time now) const
+double Broker::rank(const GrantRequest &request, core::Time now) const
 {
-    const auto served = m_served.find(ask.organisation);
-    const double tokens = served == m_served.end() ? 0 : served->second;
-    return tokens - absl::ToDoubleSeconds(now - ask.askedAt) * m_rule.agingTokensPerSecond;
+    const auto served = m_servedTokens.find(request.organisation);
+    const double tokens = served == m_servedTokens.end() ? 0 : served->second;
+    return tokens - absl::ToDoubleSeconds(now - request.waitingSince) * m_rule.agingTokensPerSecond;
 }
 
-std::vector<const Broker::Waiting *> Broker::inOrder(core::Time now) const
+std::vector<const Broker::QueuedRequest *> Broker::rankedQueue(core::Time now) const
 {
-    std::vector<const Waiting *> order;
-    order.reserve(m_waiting.size());
-    for (const auto &[id, waiting] : m_waiting) {
+    std::vector<const QueuedRequest *> order;
+    order.reserve(m_queue.size());
+    for (const auto &[id, waiting] : m_queue) {
         order.push_back(&waiting);
     }
-    std::stable_sort(order.begin(), order.end(), [&](const Waiting *left, const Waiting *right) {
-        return rank(left->ask, now) < rank(right->ask, now);
+    std::stable_sort(order.begin(), order.end(), [&](const QueuedRequest *left, const QueuedRequest *right) {
+        return rank(left->request, now) < rank(right->request, now);
     });
     return order;
 }
@@ -159,12 +160,12 @@
     return ids;
 }
 
-void Broker::grant(const Ask &ask, std::vector<std::string> targets, core::Time now)
+void Broker::issueGrant(const GrantRequest &request, std::vector<std::string> targets, core::Time now)
 {
     const auto id = m_nextGrant++;
-    m_grants[id] = Grant{id, ask.requestId, std::move(targets), now + m_rule.grantTtl};
-    m_served[ask.organisation] += static_cast<double>(ask.tokens) / ask.weight;
-    m_waiting.erase(ask.requestId);
+    m_grants[id] = Grant{id, request.requestId, std::move(targets), now + m_rule.grantTtl};
+    m_servedTokens[request.organisation] += static_cast<double>(request.tokens) / request.weight;
+    m_queue.erase(request.requestId);
 }
 
 } // namespace spurlug::grants
--- a/src/grants/broker_host.cpp
+++ b/src/grants/broker_host.cpp
@@ -33,28 +33,29 @@
     : m_table(table)
     , m_configuration(std::move(configuration))
     , m_failureDomain(std::move(failureDomain))
-    , m_server(std::make_unique<core::Periodic>("broker", [this] { return serveRound(); }))
+    , m_serveTimer(std::make_unique<core::PeriodicThread>("broker", [this] { return serveRound(); }))
 { }
 
 BrokerHost::~BrokerHost()
 {
-    m_server.reset();
+    m_serveTimer.reset();
     std::list<Waiter> waiters;
     {
         absl::MutexLock lock(&m_mutex);
         waiters.swap(m_waiters);
     }
     for (const auto &waiter : waiters) {
-        waiter.onAnswer({});
+        waiter.onReply({});
     }
 }
 
-void BrokerHost::ask(const std::string &pool, const Ask &ask, core::Duration wait, OnAnswer onAnswer, core::Time now)
+void BrokerHost::enqueue(const std::string &pool, const GrantRequest &ask, core::Duration wait, ReplyCallback onReply,
+                         core::Time now)
 {
     absl::MutexLock lock(&m_mutex);
     const auto firstGrant = core::fastHash(pool, static_cast<std::uint64_t>(absl::ToUnixNanos(now)));
-    m_brokers.try_emplace(pool, BrokerRule{}, firstGrant).first->second.ask(ask, now);
-    m_waiters.push_back({pool, ask.requestId, now + wait, std::move(onAnswer)});
+    m_brokers.try_emplace(pool, BrokerRule{}, firstGrant).first->second.enqueue(ask, now);
+    m_waiters.push_back({pool, ask.requestId, now + wait, std::move(onReply)});
 }
 
 bool BrokerHost::renew(std::uint64_t grantId, core::Time now)
@@ -71,12 +72,12 @@
     }
 }
 
-std::size_t BrokerHost::waiting() const
+std::size_t BrokerHost::queuedCount() const
 {
     absl::MutexLock lock(&m_mutex);
     std::size_t count = 0;
     for (const auto &[pool, broker] : m_brokers) {
-        count += broker.waiting();
+        count += broker.queuedCount();
     }
     return count;
 }
@@ -85,43 +86,43 @@
 {
     const auto now = core::now();
     const auto configuration = m_configuration();
-    std::list<std::pair<Waiter, AskAnswer>> answered;
+    std::list<std::pair<Waiter, GrantReply>> completed;
     {
         absl::MutexLock lock(&m_mutex);
         for (auto &[name, broker] : m_brokers) {
             const auto *pool = configuration ? configuration->poolNamed(name) : nullptr;
-            if (pool != nullptr && broker.waiting() > 0) {
+            if (pool != nullptr && broker.queuedCount() > 0) {
                 serve(*pool, broker, now);
             }
         }
-        answered = takeAnswered(now);
+        completed = takeCompleted(now);
     }
-    for (const auto &[waiter, answer] : answered) {
-        waiter.onAnswer(answer);
+    for (const auto &[waiter, answer] : completed) {
+        waiter.onReply(answer);
     }
     return RoundInterval;
 }
 
 void BrokerHost::serve(const config::Pool &pool, Broker &broker, core::Time now)
 {
-    broker.serve(m_table.views(localTargets(pool, m_failureDomain), now), pool.longShare, now);
+    broker.grantEngines(m_table.views(localTargets(pool, m_failureDomain), now), pool.maxLongPromptShare, now);
 }
 
-std::list<std::pair<BrokerHost::Waiter, AskAnswer>> BrokerHost::takeAnswered(core::Time now)
+std::list<std::pair<BrokerHost::Waiter, GrantReply>> BrokerHost::takeCompleted(core::Time now)
 {
-    std::list<std::pair<Waiter, AskAnswer>> answered;
+    std::list<std::pair<Waiter, GrantReply>> completed;
     for (auto waiter = m_waiters.begin(); waiter != m_waiters.end();) {
         const auto &broker = m_brokers[waiter->pool];
         auto grant = broker.grantOf(waiter->requestId);
-        if (!grant && now < waiter->until) {
+        if (!grant && now < waiter->deadline) {
             ++waiter;
             continue;
         }
-        const auto place = grant ? 0 : broker.place(waiter->requestId, now);
-        answered.emplace_back(std::move(*waiter), AskAnswer{std::move(grant), place});
+        const auto queuePosition = grant ? 0 : broker.queuePosition(waiter->requestId, now);
+        completed.emplace_back(std::move(*waiter), GrantReply{std::move(grant), queuePosition});
         waiter = m_waiters.erase(waiter);
     }
-    return answered;
+    return completed;
 }
 
 } // namespace spurlug::grants
--- a/src/grants/group_keeper.cpp
+++ b/src/grants/group_manager.cpp
@@ -3,7 +3,7 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "spurlug/grants/group_keeper.h"
+#include "spurlug/grants/group_manager.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,13 +17,13 @@
 constexpr auto ReservationTtl = absl::Seconds(6);
 constexpr auto RenewInterval = absl::Seconds(1);
 constexpr std::size_t BackgroundThreads = 8;
-constexpr std::size_t MostBackgroundTasks = 65536;
+constexpr std::size_t MaxBackgroundTasks = 65536;
 
 } // namespace
 
-Group::Group(GroupKeeper &keeper, std::vector<GroupMember> members, targets::Reservation reservation,
+Group::Group(GroupManager &manager, std::vector<GroupMember> members, targets::Reservation reservation,
              GrantTicket ticket)
-    : m_keeper(keeper)
+    : m_manager(manager)
     , m_members(std::move(members))
     , m_reservation(std::move(reservation))
     , m_ticket(std::move(ticket))
@@ -31,8 +31,8 @@
 
 Group::~Group()
 {
-    m_keeper.forget(*this);
-    m_keeper.giveBack(m_members, m_reservation.id, m_ticket);
+    m_manager.unregister(*this);
+    m_manager.releaseAll(m_members, m_reservation.id, m_ticket);
 }
 
 const std::vector<GroupMember> &Group::members() const noexcept
@@ -45,28 +45,28 @@
     return m_reservation.id;
 }
 
-GroupKeeper::GroupKeeper(std::string vm, std::uint64_t incarnation, GrantHooks hooks)
+GroupManager::GroupManager(std::string vm, std::uint64_t incarnation, GrantCallbacks callbacks)
     : m_vm(std::move(vm))
     , m_incarnation(incarnation)
-    , m_hooks(std::move(hooks))
-    , m_background(BackgroundThreads, MostBackgroundTasks)
-    , m_renewer(std::make_unique<core::Periodic>("reservations", [this] { return renewRound(); }))
+    , m_callbacks(std::move(callbacks))
+    , m_backgroundPool(BackgroundThreads, MaxBackgroundTasks)
+    , m_renewer(std::make_unique<core::PeriodicThread>("reservations", [this] { return renewRound(); }))
 { }
 
-GroupKeeper::~GroupKeeper()
+GroupManager::~GroupManager()
 {
     m_renewer.reset();
-    m_background.stop();
+    m_backgroundPool.stop();
 }
 
-core::Ref<Group> GroupKeeper::reserve(std::vector<GroupMember> members, const std::string &reservationId,
-                                      std::int64_t tokensEach, const GrantTicket &ticket)
+core::Ref<Group> GroupManager::reserve(std::vector<GroupMember> members, const std::string &reservationId,
+                                       std::int64_t tokensPerMember, const GrantTicket &ticket)
 {
     std::sort(members.begin(), members.end(), [](const auto &left, const auto &right) { return left.id < right.id; });
-    const targets::Reservation reservation{reservationId, m_vm, m_incarnation, tokensEach, ReservationTtl};
+    const targets::Reservation reservation{reservationId, m_vm, m_incarnation, tokensPerMember, ReservationTtl};
     for (const auto &member : members) {
         if (!targets::EngineControl(member.address).reserve(reservation)) {
-            giveBack(members, reservationId, ticket);
+            releaseAll(members, reservationId, ticket);
             return nullptr;
         }
     }
@@ -76,29 +76,29 @@
     return group;
 }
 
-std::size_t GroupKeeper::size() const
+std::size_t GroupManager::size() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_groups.size();
 }
 
-core::Duration GroupKeeper::renewRound()
+core::Duration GroupManager::renewRound()
 {
     absl::MutexLock lock(&m_mutex);
     for (const auto &group : m_groups) {
         for (const auto &member : group.m_members) {
             [[maybe_unused]] const bool queued
-                = m_background.tryRun([address = member.address, reservation = group.m_reservation] {
-                      [[maybe_unused]] const bool kept = targets::EngineControl(address).reserve(reservation);
+                = m_backgroundPool.trySubmit([address = member.address, reservation = group.m_reservation] {
+                      [[maybe_unused]] const bool renewed = targets::EngineControl(address).reserve(reservation);
                   });
         }
         [[maybe_unused]] const bool queued
-            = m_background.tryRun([this, ticket = group.m_ticket] { m_hooks.renew(ticket); });
+            = m_backgroundPool.trySubmit([this, ticket = group.m_ticket] { m_callbacks.renew(ticket); });
     }
     return RenewInterval;
 }
 
-void GroupKeeper::forget(Group &group)
+void GroupManager::unregister(Group &group)
 {
     absl::MutexLock lock(&m_mutex);
     if (group.is_linked()) {
@@ -106,14 +106,14 @@
     }
 }
 
-void GroupKeeper::giveBack(const std::vector<GroupMember> &members, const std::string &reservationId,
-                           const GrantTicket &ticket)
+void GroupManager::releaseAll(const std::vector<GroupMember> &members, const std::string &reservationId,
+                              const GrantTicket &ticket)
 {
-    m_background.run([this, members, reservationId, ticket] {
+    m_backgroundPool.submit([this, members, reservationId, ticket] {
         for (const auto &member : members) {
             targets::EngineControl(member.address).release(reservationId);
         }
-        m_hooks.release(ticket);
+        m_callbacks.release(ticket);
     });
 }
 
--- a/src/limits/organisation_limiter.cpp
+++ b/src/limits/organisation_limiter.cpp
@@ -22,62 +22,62 @@
 constexpr double SecondsPerMinute = 60;
 constexpr double BurstSeconds = 1;
 
-int secondsUntil(core::Duration wait)
+int toWholeSeconds(core::Duration wait)
 {
     return std::max(1, static_cast<int>(std::ceil(absl::ToDoubleSeconds(wait))));
 }
 
 } // namespace
 
-OrganisationLimiter::LongPlace::~LongPlace()
+OrganisationLimiter::LongPromptSlot::~LongPromptSlot()
 {
     if (m_limiter != nullptr) {
-        m_limiter->endLong(m_organisation);
+        m_limiter->releaseSlot(m_organisation);
     }
 }
 
-void OrganisationLimiter::setDaemons(std::size_t daemons)
+void OrganisationLimiter::setDaemonCount(std::size_t daemonCount)
 {
     absl::MutexLock lock(&m_mutex);
-    m_daemons = std::max<std::size_t>(daemons, 1);
+    m_daemonCount = std::max<std::size_t>(daemonCount, 1);
 }
 
 OrganisationLimiter::State &OrganisationLimiter::stateOf(const config::Organisation &organisation, core::Time now)
 {
     auto &state = m_states[organisation.name];
-    const double tokenRate = organisation.promptTokensPerMinute / SecondsPerMinute;
-    const bool changed = state.daemons != m_daemons || state.requestRate != organisation.requestsPerSecond
+    const double tokenRate = organisation.maxPromptTokensPerMinute / SecondsPerMinute;
+    const bool changed = state.daemonCount != m_daemonCount || state.requestRate != organisation.maxRequestsPerSecond
         || state.tokenRate != tokenRate;
     if (changed) {
-        const auto share = 1.0 / static_cast<double>(m_daemons);
-        const double requests = organisation.requestsPerSecond * share;
-        state.requests.setRate(requests, std::max(1.0, requests * BurstSeconds), now);
+        const auto share = 1.0 / static_cast<double>(m_daemonCount);
+        const double requestShare = organisation.maxRequestsPerSecond * share;
+        state.requests.setRate(requestShare, std::max(1.0, requestShare * BurstSeconds), now);
         state.tokens.setRate(tokenRate * share, std::max(1.0, tokenRate * share * BurstSeconds), now);
-        state.daemons = m_daemons;
-        state.requestRate = organisation.requestsPerSecond;
+        state.daemonCount = m_daemonCount;
+        state.requestRate = organisation.maxRequestsPerSecond;
         state.tokenRate = tokenRate;
     }
     return state;
 }
 
-OrganisationLimiter::LongPlace OrganisationLimiter::take(const config::Organisation &organisation, std::int64_t tokens,
-                                                         bool isLong, core::Time now)
+OrganisationLimiter::LongPromptSlot OrganisationLimiter::admit(const config::Organisation &organisation,
+                                                               std::int64_t tokens, bool isLong, core::Time now)
 {
     absl::MutexLock lock(&m_mutex);
     auto &state = stateOf(organisation, now);
-    const auto longShare
-        = std::max<std::int64_t>(1, organisation.longPromptsAtOnce / static_cast<std::int64_t>(m_daemons));
-    if (isLong && organisation.longPromptsAtOnce > 0 && state.longPrompts >= longShare) {
+    const auto maxLongPrompts
+        = std::max<std::int64_t>(1, organisation.maxConcurrentLongPrompts / static_cast<std::int64_t>(m_daemonCount));
+    if (isLong && organisation.maxConcurrentLongPrompts > 0 && state.longPrompts >= maxLongPrompts) {
         throw Refused(Reason::LongPrompts, "too many long prompts of this organisation are in progress", 1);
     }
-    if (organisation.requestsPerSecond > 0 && !state.requests.take(1, now)) {
+    if (organisation.maxRequestsPerSecond > 0 && !state.requests.take(1, now)) {
         throw Refused(Reason::RequestRate, "the organisation's request rate is used up",
-                      secondsUntil(state.requests.wait(1)));
+                      toWholeSeconds(state.requests.waitTime(1)));
     }
     const auto units = static_cast<double>(tokens);
-    if (organisation.promptTokensPerMinute > 0 && !state.tokens.take(units, now)) {
+    if (organisation.maxPromptTokensPerMinute > 0 && !state.tokens.take(units, now)) {
         throw Refused(Reason::TokenBudget, "the organisation's prompt tokens are used up",
-                      secondsUntil(state.tokens.wait(units)));
+                      toWholeSeconds(state.tokens.waitTime(units)));
     }
     if (!isLong) {
         return {};
@@ -86,7 +86,7 @@
     return {this, organisation.name};
 }
 
-void OrganisationLimiter::endLong(const std::string &organisation)
+void OrganisationLimiter::releaseSlot(const std::string &organisation)
 {
     absl::MutexLock lock(&m_mutex);
     --m_states[organisation].longPrompts;
--- a/src/membership/domain_table.cpp
+++ b/src/membership/domain_table.cpp
@@ -13,67 +13,67 @@
 namespace
 {
 
-constexpr auto RepeatFor = absl::Seconds(5); // After the last summary that came directly from the domain.
+constexpr auto ForwardDuration = absl::Seconds(5); // After the last summary that came directly from the domain.
 
 } // namespace
 
-DomainTable::DomainTable(std::string own)
-    : m_own(std::move(own))
+DomainTable::DomainTable(std::string ownDomain)
+    : m_ownDomain(std::move(ownDomain))
 { }
 
-bool DomainTable::hear(const DomainSummary &summary, bool direct, core::Time now)
+bool DomainTable::update(const DomainSummary &summary, bool isDirect, core::Time now)
 {
-    if (summary.failureDomain.empty() || summary.failureDomain == m_own) {
+    if (summary.failureDomain.empty() || summary.failureDomain == m_ownDomain) {
         return false;
     }
-    const auto madeAt = now - summary.age;
+    const auto createdAt = now - summary.age;
     auto &entry = m_entries[summary.failureDomain];
-    if (!entry.summary.failureDomain.empty() && madeAt <= entry.madeAt) {
+    if (!entry.summary.failureDomain.empty() && createdAt <= entry.createdAt) {
         return false;
     }
     entry.summary = summary;
-    entry.madeAt = madeAt;
-    if (direct) {
-        entry.heardDirectlyAt = now;
+    entry.createdAt = createdAt;
+    if (isDirect) {
+        entry.directlyReceivedAt = now;
     }
     return true;
 }
 
-std::vector<DomainSummary> DomainTable::known(core::Time now) const
+std::vector<DomainSummary> DomainTable::summaries(core::Time now) const
 {
     std::vector<DomainSummary> all;
     all.reserve(m_entries.size());
     for (const auto &[domain, entry] : m_entries) {
-        all.push_back(aged(entry, now));
+        all.push_back(withCurrentAge(entry, now));
     }
     return all;
 }
 
-std::vector<DomainSummary> DomainTable::toRepeat(core::Time now) const
+std::vector<DomainSummary> DomainTable::summariesToForward(core::Time now) const
 {
-    std::vector<DomainSummary> repeated;
+    std::vector<DomainSummary> forwarded;
     for (const auto &[domain, entry] : m_entries) {
-        if (now - entry.heardDirectlyAt <= RepeatFor) {
-            repeated.push_back(aged(entry, now));
+        if (now - entry.directlyReceivedAt <= ForwardDuration) {
+            forwarded.push_back(withCurrentAge(entry, now));
         }
     }
-    return repeated;
+    return forwarded;
 }
 
 core::Duration DomainTable::age(const std::string &failureDomain, core::Time now) const
 {
     const auto entry = m_entries.find(failureDomain);
-    return entry == m_entries.end() ? absl::InfiniteDuration() : now - entry->second.madeAt;
+    return entry == m_entries.end() ? absl::InfiniteDuration() : now - entry->second.createdAt;
 }
 
-DomainSummary DomainTable::aged(const Entry &entry, core::Time now)
+DomainSummary DomainTable::withCurrentAge(const Entry &entry, core::Time now)
 {
     auto summary = entry.summary;
-    const auto since = now - entry.madeAt - summary.age;
-    summary.age += since;
+    const auto elapsed = now - entry.createdAt - summary.age;
+    summary.age += elapsed;
     for (auto &pool : summary.pools) {
-        for (auto &load : pool.best) {
-            load.age += since;
+        for (auto &load : pool.leastLoaded) {
+            load.age += elapsed;
         }
     }
     return summary;
--- a/src/membership/fleet.cpp
+++ b/src/membership/fleet.cpp
@@ -18,45 +18,45 @@
     : m_self(self)
     , m_failureDomain(failureDomain)
     , m_allDomains(std::move(allDomains))
-    , m_table(self, failureDomain, timeout)
-    , m_domains(failureDomain)
+    , m_peers(self, failureDomain, timeout)
+    , m_domainTable(failureDomain)
 { }
 
-HeardResult Fleet::hear(const PeerNews &news, core::Time now)
+HeartbeatResult Fleet::recordHeartbeat(const PeerReport &report, core::Time now)
 {
     absl::MutexLock lock(&m_mutex);
-    return m_table.hear(news, now);
+    return m_peers.recordHeartbeat(report, now);
 }
 
-void Fleet::noteVmList(const std::vector<objects::VmEntry> &entries)
+void Fleet::applyVmList(const std::vector<objects::VmEntry> &entries)
 {
     absl::MutexLock lock(&m_mutex);
-    m_table.noteVmList(entries);
+    m_peers.applyVmList(entries);
 }
 
-void Fleet::noteOwnPause(core::Duration gap, core::Time now)
+void Fleet::extendTimeouts(core::Duration gap, core::Time now)
 {
     absl::MutexLock lock(&m_mutex);
-    m_table.noteOwnPause(gap, now);
+    m_peers.extendTimeouts(gap, now);
 }
 
-void Fleet::forgetSilent(core::Time now)
+void Fleet::removeSilentPeers(core::Time now)
 {
     absl::MutexLock lock(&m_mutex);
-    m_table.forgetSilent(now);
+    m_peers.removeSilentPeers(now);
 }
 
-std::vector<DomainSummary> Fleet::hearSummaries(const Heartbeat &heartbeat, core::Time now)
+std::vector<DomainSummary> Fleet::storeSummaries(const Heartbeat &heartbeat, core::Time now)
 {
-    std::vector<DomainSummary> news;
+    std::vector<DomainSummary> newSummaries;
     absl::MutexLock lock(&m_mutex);
     for (const auto &summary : heartbeat.summaries) {
-        const bool direct = heartbeat.news.failureDomain == summary.failureDomain;
-        if (m_domains.hear(summary, direct, now)) {
-            news.push_back(summary);
+        const bool isDirect = heartbeat.sender.failureDomain == summary.failureDomain;
+        if (m_domainTable.update(summary, isDirect, now)) {
+            newSummaries.push_back(summary);
         }
     }
-    return news;
+    return newSummaries;
 }
 
 void Fleet::setState(DaemonState state) noexcept
@@ -72,10 +72,10 @@
 std::vector<std::string> Fleet::roleHolders(core::Time now) const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_table.roleHolders(m_state == DaemonState::Serving, now);
+    return m_peers.roleHolders(m_state == DaemonState::Serving, now);
 }
 
-std::string Fleet::holder(std::string_view role, core::Time now) const
+std::string Fleet::roleHolder(std::string_view role, core::Time now) const
 {
     std::string best;
     std::uint64_t bestWeight = 0;
@@ -89,83 +89,83 @@
     return best;
 }
 
-bool Fleet::holds(std::string_view role, std::size_t count, core::Time now) const
+bool Fleet::holdsRole(std::string_view role, std::size_t count, core::Time now) const
 {
     const auto ranked = core::rankByRendezvous(role, roleHolders(now));
     const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(std::min(count, ranked.size()));
     return std::find(ranked.begin(), end, m_self) != end;
 }
 
-std::vector<core::Address> Fleet::sendTo() const
+std::vector<core::Address> Fleet::heartbeatRecipients() const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_table.sendTo();
+    return m_peers.heartbeatRecipients();
 }
 
 std::optional<Peer> Fleet::find(const std::string &vm) const
 {
     absl::MutexLock lock(&m_mutex);
-    const auto *peer = m_table.find(vm);
+    const auto *peer = m_peers.find(vm);
     return peer == nullptr ? std::nullopt : std::optional(*peer);
 }
 
-std::vector<Peer> Fleet::alive(core::Time now) const
+std::vector<Peer> Fleet::alivePeers(core::Time now) const
 {
     absl::MutexLock lock(&m_mutex);
     std::vector<Peer> all;
-    for (const auto &[vm, peer] : m_table.peers()) {
-        if (m_table.alive(peer, now)) {
+    for (const auto &[vm, peer] : m_peers.peers()) {
+        if (m_peers.isAlive(peer, now)) {
             all.push_back(peer);
         }
     }
     return all;
 }
 
-std::vector<core::Address> Fleet::sendToOtherDomains(core::Time now) const
+std::vector<core::Address> Fleet::otherDomainRecipients(core::Time now) const
 {
-    constexpr auto SilentAfter = absl::Seconds(5);
-    constexpr std::size_t ContactsOfSilent = 3;
+    constexpr auto MaxSilence = absl::Seconds(5);
+    constexpr std::size_t ContactsPerSilentDomain = 3;
     std::vector<std::string> others;
     {
         absl::MutexLock lock(&m_mutex);
-        others = m_table.otherDomains();
+        others = m_peers.otherDomains();
     }
     std::vector<core::Address> addresses;
     for (const auto &domain : others) {
-        if (holder(core::cat("delegate:", domain), now) != m_self) {
+        if (roleHolder(core::cat("delegate:", domain), now) != m_self) {
             continue;
         }
         absl::MutexLock lock(&m_mutex);
-        const std::size_t most = m_domains.age(domain, now) > SilentAfter ? ContactsOfSilent : 1;
-        const auto contacts = m_table.contactsIn(domain, most, now);
+        const std::size_t maxContacts = m_domainTable.age(domain, now) > MaxSilence ? ContactsPerSilentDomain : 1;
+        const auto contacts = m_peers.contactAddresses(domain, maxContacts, now);
         addresses.insert(addresses.end(), contacts.begin(), contacts.end());
     }
     return addresses;
 }
 
-std::vector<DomainSummary> Fleet::domains(core::Time now) const
+std::vector<DomainSummary> Fleet::domainSummaries(core::Time now) const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_domains.known(now);
+    return m_domainTable.summaries(now);
 }
 
-std::vector<DomainSummary> Fleet::summariesToRepeat(core::Time now) const
+std::vector<DomainSummary> Fleet::summariesToForward(core::Time now) const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_domains.toRepeat(now);
+    return m_domainTable.summariesToForward(now);
 }
 
-std::size_t Fleet::daemons(core::Time now) const
+std::size_t Fleet::daemonCount(core::Time now) const
 {
-    const auto own = std::max<std::size_t>(roleHolders(now).size(), 1);
-    const auto known = domains(now);
-    auto count = own;
-    for (const auto &domain : known) {
-        count += static_cast<std::size_t>(domain.daemons);
+    const auto ownDaemons = std::max<std::size_t>(roleHolders(now).size(), 1);
+    const auto summaries = domainSummaries(now);
+    auto count = ownDaemons;
+    for (const auto &domain : summaries) {
+        count += static_cast<std::size_t>(domain.daemonCount);
     }
-    const auto heardOf = known.size() + 1;
-    const auto never = m_allDomains.size() > heardOf ? m_allDomains.size() - heardOf : 0;
-    return count + never * own;
+    const auto knownDomains = summaries.size() + 1;
+    const auto unknownDomains = m_allDomains.size() > knownDomains ? m_allDomains.size() - knownDomains : 0;
+    return count + unknownDomains * ownDaemons;
 }
 
 const std::string &Fleet::failureDomain() const noexcept
--- a/src/membership/heartbeat.cpp
+++ b/src/membership/heartbeat.cpp
@@ -26,15 +26,15 @@
 void writeLoad(const ObservedLoad &load, wire::TargetLoad &out)
 {
     out.set_target(load.target);
-    out.set_queued_tokens(clamp32(load.report.queuedTokens));
-    out.set_urgent_tokens(clamp32(load.report.urgentTokens));
-    out.set_streams(clamp32(load.report.streams));
-    out.set_free_tokens(clamp32(load.report.freeTokens));
-    out.set_age_ms(clamp32(core::toMs(load.age)));
+    out.set_queued_tokens(clampToUint32(load.report.queuedTokens));
+    out.set_urgent_tokens(clampToUint32(load.report.urgentTokens));
+    out.set_streams(clampToUint32(load.report.streams));
+    out.set_free_tokens(clampToUint32(load.report.freeTokens));
+    out.set_age_ms(clampToUint32(core::toMs(load.age)));
     out.set_state(static_cast<std::uint32_t>(load.report.condition));
-    out.set_prefill_rate(clamp32(static_cast<std::int64_t>(load.report.prefillRate / RateUnit)));
+    out.set_prefill_rate(clampToUint32(static_cast<std::int64_t>(load.report.prefillRate / RateUnit)));
     out.set_reserved(load.report.reserved ? 1 : 0);
-    out.set_max_streams(clamp32(load.report.maxStreams));
+    out.set_max_streams(clampToUint32(load.report.maxStreams));
 }
 
 ObservedLoad readLoad(const wire::TargetLoad &in)
@@ -58,14 +58,14 @@
 {
     out.set_failure_domain(summary.failureDomain);
     out.set_lowest_generation(static_cast<std::uint64_t>(summary.lowestGeneration));
-    out.set_daemons(clamp32(summary.daemons));
-    out.set_age_ms(clamp32(core::toMs(summary.age)));
+    out.set_daemons(clampToUint32(summary.daemonCount));
+    out.set_age_ms(clampToUint32(core::toMs(summary.age)));
     out.set_rpc_address(summary.rpcAddress.text());
     for (const auto &pool : summary.pools) {
         auto &poolOut = *out.add_pools();
         poolOut.set_pool(pool.pool);
-        poolOut.set_usable(clamp32(pool.usable));
-        for (const auto &load : pool.best) {
+        poolOut.set_usable(clampToUint32(pool.usableTargets));
+        for (const auto &load : pool.leastLoaded) {
             writeLoad(load, *poolOut.add_best());
         }
         if (pool.broker.port != 0) {
@@ -79,15 +79,15 @@
     DomainSummary summary;
     summary.failureDomain = in.failure_domain();
     summary.lowestGeneration = static_cast<std::int64_t>(in.lowest_generation());
-    summary.daemons = in.daemons();
+    summary.daemonCount = in.daemons();
     summary.age = core::fromMs(in.age_ms());
     summary.rpcAddress = core::parseAddress(in.rpc_address());
     for (const auto &poolIn : in.pools()) {
         PoolSummary pool;
         pool.pool = poolIn.pool();
-        pool.usable = poolIn.usable();
+        pool.usableTargets = poolIn.usable();
         for (const auto &load : poolIn.best()) {
-            pool.best.push_back(readLoad(load));
+            pool.leastLoaded.push_back(readLoad(load));
         }
         if (!poolIn.broker().empty()) {
             pool.broker = core::parseAddress(poolIn.broker());
@@ -100,14 +100,14 @@
 void writeRoster(const DomainRoster &roster, wire::DomainRoster &out)
 {
     out.set_failure_domain(roster.failureDomain);
-    out.set_daemons(clamp32(static_cast<std::int64_t>(roster.daemons)));
-    out.set_age_ms(clamp32(core::toMs(roster.age)));
+    out.set_daemons(clampToUint32(static_cast<std::int64_t>(roster.daemonCount)));
+    out.set_age_ms(clampToUint32(core::toMs(roster.age)));
     for (const auto &member : roster.members) {
         auto &memberOut = *out.add_members();
         memberOut.set_vm(member.vm);
         memberOut.set_peer_address(member.peerAddress.text());
         memberOut.set_rpc_address(member.rpcAddress.text());
-        memberOut.set_processor_share(clamp32(std::lround(member.processorShare * ShareUnit)));
+        memberOut.set_processor_share(clampToUint32(std::lround(member.processorShare * ShareUnit)));
         memberOut.set_state(static_cast<wire::DaemonState>(member.state));
     }
 }
@@ -121,10 +121,10 @@
 {
     DomainRoster roster;
     roster.failureDomain = in.failure_domain();
-    roster.daemons = in.daemons();
+    roster.daemonCount = in.daemons();
     roster.age = core::fromMs(in.age_ms());
     for (const auto &memberIn : in.members()) {
-        PeerNews member;
+        PeerReport member;
         member.vm = memberIn.vm();
         member.failureDomain = in.failure_domain();
         member.peerAddress = core::parseAddress(memberIn.peer_address());
@@ -138,14 +138,14 @@
 
 wire::Heartbeat toWire(const Heartbeat &heartbeat)
 {
-    const auto &news = heartbeat.news;
+    const auto &sender = heartbeat.sender;
     wire::Heartbeat out;
-    out.set_vm(news.vm);
-    out.set_incarnation(news.incarnation);
-    out.set_sequence(news.sequence);
-    out.set_state(static_cast<wire::DaemonState>(news.state));
-    out.set_generation(static_cast<std::uint64_t>(news.generation));
-    out.set_refused_generation(clamp32(news.refusedGeneration));
+    out.set_vm(sender.vm);
+    out.set_incarnation(sender.incarnation);
+    out.set_sequence(sender.sequence);
+    out.set_state(static_cast<wire::DaemonState>(sender.state));
+    out.set_generation(static_cast<std::uint64_t>(sender.generation));
+    out.set_refused_generation(clampToUint32(sender.refusedGeneration));
     for (const auto &load : heartbeat.loads) {
         writeLoad(load, *out.add_loads());
     }
@@ -155,54 +155,54 @@
     for (const auto &work : heartbeat.work) {
         writeWork(work, *out.add_work());
     }
-    for (const auto target : heartbeat.unreachable) {
+    for (const auto target : heartbeat.unreachableTargets) {
         out.add_unreachable(target);
     }
-    for (const auto target : heartbeat.leaving) {
+    for (const auto target : heartbeat.drainingTargets) {
         out.add_leaving(target);
     }
-    for (const auto &rate : heartbeat.rates) {
+    for (const auto &rate : heartbeat.rateReports) {
         writeRate(rate, *out.add_rates());
     }
     for (const auto &peer : heartbeat.knownPeers) {
         out.add_known_peers(peer.text());
     }
-    out.set_wants_answer(heartbeat.wantsAnswer);
+    out.set_wants_answer(heartbeat.wantsReply);
     out.set_rosters_digest(heartbeat.rostersDigest);
     for (const auto &roster : heartbeat.rosters) {
         writeRoster(roster, *out.add_rosters());
     }
-    out.set_largest_domain(clamp32(static_cast<std::int64_t>(heartbeat.largestDomain)));
-    if (news.peerAddress.port != 0) {
-        out.mutable_hello()->set_failure_domain(news.failureDomain);
-        out.mutable_hello()->set_peer_address(news.peerAddress.text());
-        out.mutable_hello()->set_rpc_address(news.rpcAddress.text());
-        out.mutable_hello()->set_processor_share(clamp32(std::lround(news.processorShare * ShareUnit)));
+    out.set_largest_domain(clampToUint32(static_cast<std::int64_t>(heartbeat.largestDomainSize)));
+    if (sender.peerAddress.port != 0) {
+        out.mutable_hello()->set_failure_domain(sender.failureDomain);
+        out.mutable_hello()->set_peer_address(sender.peerAddress.text());
+        out.mutable_hello()->set_rpc_address(sender.rpcAddress.text());
+        out.mutable_hello()->set_processor_share(clampToUint32(std::lround(sender.processorShare * ShareUnit)));
     }
     return out;
 }
 
-PeerNews readNews(const wire::Heartbeat &in)
+PeerReport readPeerReport(const wire::Heartbeat &in)
 {
-    PeerNews news;
-    news.vm = in.vm();
-    news.incarnation = in.incarnation();
-    news.sequence = in.sequence();
-    news.state = readState(in.state());
-    news.generation = static_cast<std::int64_t>(in.generation());
-    news.refusedGeneration = in.refused_generation();
+    PeerReport report;
+    report.vm = in.vm();
+    report.incarnation = in.incarnation();
+    report.sequence = in.sequence();
+    report.state = readState(in.state());
+    report.generation = static_cast<std::int64_t>(in.generation());
+    report.refusedGeneration = in.refused_generation();
     if (in.has_hello()) {
-        news.failureDomain = in.hello().failure_domain();
-        news.peerAddress = core::parseAddress(in.hello().peer_address());
-        news.rpcAddress = core::parseAddress(in.hello().rpc_address());
-        news.processorShare = in.hello().processor_share() / ShareUnit;
+        report.failureDomain = in.hello().failure_domain();
+        report.peerAddress = core::parseAddress(in.hello().peer_address());
+        report.rpcAddress = core::parseAddress(in.hello().rpc_address());
+        report.processorShare = in.hello().processor_share() / ShareUnit;
     }
-    return news;
+    return report;
 }
 
 std::string sign(std::string_view key, std::string_view bytes)
 {
-    return key.empty() ? std::string() : core::keyedHash(key, bytes).substr(0, SignatureBytes);
+    return key.empty() ? std::string() : core::hmacSha256(key, bytes).substr(0, SignatureBytes);
 }
 
 } // namespace
@@ -226,7 +226,7 @@
     }
     try {
         Heartbeat heartbeat;
-        heartbeat.news = readNews(inner);
+        heartbeat.sender = readPeerReport(inner);
         for (const auto &load : inner.loads()) {
             heartbeat.loads.push_back(readLoad(load));
         }
@@ -236,20 +236,20 @@
         for (const auto &work : inner.work()) {
             heartbeat.work.push_back(readWork(work));
         }
-        heartbeat.unreachable.assign(inner.unreachable().begin(), inner.unreachable().end());
-        heartbeat.leaving.assign(inner.leaving().begin(), inner.leaving().end());
+        heartbeat.unreachableTargets.assign(inner.unreachable().begin(), inner.unreachable().end());
+        heartbeat.drainingTargets.assign(inner.leaving().begin(), inner.leaving().end());
         for (const auto &rate : inner.rates()) {
-            heartbeat.rates.push_back(readRate(rate));
+            heartbeat.rateReports.push_back(readRate(rate));
         }
         for (const auto &peer : inner.known_peers()) {
             heartbeat.knownPeers.push_back(core::parseAddress(peer));
         }
-        heartbeat.wantsAnswer = inner.wants_answer();
+        heartbeat.wantsReply = inner.wants_answer();
         heartbeat.rostersDigest = inner.rosters_digest();
         for (const auto &roster : inner.rosters()) {
             heartbeat.rosters.push_back(readRoster(roster));
         }
-        heartbeat.largestDomain = inner.largest_domain();
+        heartbeat.largestDomainSize = inner.largest_domain();
         return heartbeat;
     } catch (const core::InvalidDocument &) {
         return std::nullopt;
--- a/src/membership/heartbeat_service.cpp
+++ b/src/membership/heartbeat_service.cpp
@@ -17,25 +17,25 @@
 namespace
 {
 
-constexpr std::uint64_t IntroduceEvery = 10;
-constexpr std::uint64_t SummariesEvery = 8;
+constexpr std::uint64_t RoundsPerIntroduction = 10;
+constexpr std::uint64_t RoundsPerSummaries = 8;
 /// A gap of more than this many intervals between rounds means that the daemon was paused.
-constexpr int PauseIntervals = 3;
+constexpr int PauseThresholdIntervals = 3;
 
 } // namespace
 
 HeartbeatService::HeartbeatService(Fleet &fleet, metrics::Metrics &metrics, std::unique_ptr<UdpSocket> socket,
                                    std::string key, std::vector<core::Address> seeds, core::Duration interval,
-                                   HeartbeatHooks hooks)
+                                   HeartbeatCallbacks callbacks)
     : m_fleet(fleet)
     , m_metrics(metrics)
     , m_socket(std::move(socket))
     , m_key(std::move(key))
     , m_seeds(std::move(seeds))
     , m_interval(interval)
-    , m_hooks(std::move(hooks))
-    , m_receiver([this] { receiveAll(); })
-    , m_sender(std::make_unique<core::Periodic>("heartbeats", [this] { return sendRound(); }))
+    , m_callbacks(std::move(callbacks))
+    , m_receiver([this] { receiveHeartbeats(); })
+    , m_sender(std::make_unique<core::PeriodicThread>("heartbeats", [this] { return sendRound(); }))
 { }
 
 HeartbeatService::~HeartbeatService()
@@ -53,65 +53,66 @@
 
 core::Duration HeartbeatService::sendRound()
 {
-    notePause(core::now());
+    detectPause(core::now());
     ++m_sequence;
     sendToOwnDomain();
     sendToOtherDomains();
-    m_fleet.forgetSilent(core::now());
+    m_fleet.removeSilentPeers(core::now());
     return m_interval;
 }
 
 void HeartbeatService::sendToOwnDomain()
 {
-    const bool withSummaries = m_sequence % SummariesEvery == 0;
-    auto heartbeat = m_hooks.compose(withSummaries ? Audience::OwnDomainWithSummaries : Audience::OwnDomain);
-    heartbeat.news.sequence = m_sequence;
-    const bool introduce = m_introduce.exchange(false) || m_sequence % IntroduceEvery == 0;
+    const bool withSummaries = m_sequence % RoundsPerSummaries == 0;
+    auto heartbeat
+        = m_callbacks.makeHeartbeat(withSummaries ? HeartbeatScope::OwnDomainWithSummaries : HeartbeatScope::OwnDomain);
+    heartbeat.sender.sequence = m_sequence;
+    const bool introduce = m_introductionDue.exchange(false) || m_sequence % RoundsPerIntroduction == 0;
     if (!introduce) {
-        heartbeat.news.peerAddress.port = 0;
+        heartbeat.sender.peerAddress.port = 0;
     }
-    auto receivers = m_fleet.sendTo();
+    auto recipients = m_fleet.heartbeatRecipients();
     for (const auto &seed : m_seeds) {
-        if (std::find(receivers.begin(), receivers.end(), seed) == receivers.end()) {
-            receivers.push_back(seed);
+        if (std::find(recipients.begin(), recipients.end(), seed) == recipients.end()) {
+            recipients.push_back(seed);
         }
     }
-    send(writeHeartbeat(heartbeat, m_key), receivers);
+    send(writeHeartbeat(heartbeat, m_key), recipients);
 }
 
 void HeartbeatService::sendToOtherDomains()
 {
-    const auto receivers = m_fleet.sendToOtherDomains(core::now());
-    if (receivers.empty()) {
+    const auto recipients = m_fleet.otherDomainRecipients(core::now());
+    if (recipients.empty()) {
         return;
     }
-    auto heartbeat = m_hooks.compose(Audience::OtherDomains);
-    heartbeat.news.sequence = m_sequence;
-    send(writeHeartbeat(heartbeat, m_key), receivers);
+    auto heartbeat = m_callbacks.makeHeartbeat(HeartbeatScope::OtherDomains);
+    heartbeat.sender.sequence = m_sequence;
+    send(writeHeartbeat(heartbeat, m_key), recipients);
 }
 
-void HeartbeatService::send(const std::string &datagram, const std::vector<core::Address> &receivers)
+void HeartbeatService::send(const std::string &datagram, const std::vector<core::Address> &recipients)
 {
-    for (const auto &receiver : receivers) {
-        m_socket->send(datagram, receiver);
+    for (const auto &recipient : recipients) {
+        m_socket->send(datagram, recipient);
         m_metrics.count(metrics::Counter::HeartbeatsSent);
         m_metrics.count(metrics::Counter::HeartbeatBytesSent, static_cast<std::int64_t>(datagram.size()));
     }
 }
 
-void HeartbeatService::notePause(core::Time now)
+void HeartbeatService::detectPause(core::Time now)
 {
-    const auto gap = now - m_lastRound;
-    const bool paused = m_lastRound != absl::InfinitePast() && gap > m_interval * PauseIntervals;
-    m_lastRound = now;
+    const auto gap = now - m_lastRoundAt;
+    const bool paused = m_lastRoundAt != absl::InfinitePast() && gap > m_interval * PauseThresholdIntervals;
+    m_lastRoundAt = now;
     if (paused) {
-        m_fleet.noteOwnPause(gap, now);
-        m_metrics.count(metrics::Counter::PausesNoticed);
+        m_fleet.extendTimeouts(gap, now);
+        m_metrics.count(metrics::Counter::PausesDetected);
         core::log(core::LogLevel::Warning, "own_pause_noticed", {{"gapMs", core::toMs(gap)}});
     }
 }
 
-void HeartbeatService::receiveAll()
+void HeartbeatService::receiveHeartbeats()
 {
     while (const auto datagram = m_socket->receive()) {
         m_metrics.count(metrics::Counter::HeartbeatsReceived);
@@ -122,13 +123,13 @@
             continue;
         }
         const auto now = core::now();
-        const auto result = m_fleet.hear(heartbeat->news, now);
-        if (result == HeardResult::New) {
-            m_introduce = true;
-            core::log(core::LogLevel::Info, "peer_heard", {{"vm", heartbeat->news.vm}});
+        const auto result = m_fleet.recordHeartbeat(heartbeat->sender, now);
+        if (result == HeartbeatResult::New) {
+            m_introductionDue = true;
+            core::log(core::LogLevel::Info, "peer_heard", {{"vm", heartbeat->sender.vm}});
         }
-        if (result == HeardResult::New || result == HeardResult::Accepted) {
-            m_hooks.received(*heartbeat, now);
+        if (result == HeartbeatResult::New || result == HeartbeatResult::Accepted) {
+            m_callbacks.onReceived(*heartbeat, now);
         }
     }
 }
