--- a/src/membership/peer_table.cpp
+++ b/src/membership/peer_table.cpp
@@ -17,21 +17,21 @@
 namespace
 {
 
-bool introduces(const PeerNews &news)
+bool hasIntroduction(const PeerReport &report)
 {
-    return news.peerAddress.port != 0;
+    return report.peerAddress.port != 0;
 }
 
 /// Fills the fields that only an introduction contains, from the last known values.
-PeerNews withKnownAddresses(PeerNews news, const PeerNews &known)
+PeerReport withKnownAddresses(PeerReport report, const PeerReport &known)
 {
-    if (!introduces(news)) {
-        news.failureDomain = known.failureDomain;
-        news.peerAddress = known.peerAddress;
-        news.rpcAddress = known.rpcAddress;
-        news.processorShare = known.processorShare;
+    if (!hasIntroduction(report)) {
+        report.failureDomain = known.failureDomain;
+        report.peerAddress = known.peerAddress;
+        report.rpcAddress = known.rpcAddress;
+        report.processorShare = known.processorShare;
     }
-    return news;
+    return report;
 }
 
 } // namespace
@@ -42,75 +42,76 @@
     , m_timeout(timeout)
 { }
 
-HeardResult PeerTable::hear(const PeerNews &news, core::Time now)
+HeartbeatResult PeerTable::recordHeartbeat(const PeerReport &report, core::Time now)
 {
-    if (news.vm == m_self) {
-        return HeardResult::Own;
+    if (report.vm == m_self) {
+        return HeartbeatResult::Own;
     }
-    const auto known = m_peers.find(news.vm);
+    const auto known = m_peers.find(report.vm);
     if (known == m_peers.end()) {
-        if (!introduces(news)) {
-            return HeardResult::Unknown;
+        if (!hasIntroduction(report)) {
+            return HeartbeatResult::Unknown;
         }
-        m_peers[news.vm] = Peer{news, now, false};
-        return HeardResult::New;
+        m_peers[report.vm] = Peer{report, now, false};
+        return HeartbeatResult::New;
     }
     auto &peer = known->second;
-    if (news.incarnation < peer.news.incarnation) {
-        return HeardResult::Outdated;
+    if (report.incarnation < peer.report.incarnation) {
+        return HeartbeatResult::Outdated;
     }
-    const bool restarted = news.incarnation > peer.news.incarnation;
-    if (restarted && !introduces(news)) {
-        return HeardResult::Unknown;
+    const bool restarted = report.incarnation > peer.report.incarnation;
+    if (restarted && !hasIntroduction(report)) {
+        return HeartbeatResult::Unknown;
     }
-    if (!restarted && news.sequence <= peer.news.sequence) {
-        return HeardResult::Repeated;
+    if (!restarted && report.sequence <= peer.report.sequence) {
+        return HeartbeatResult::Duplicate;
     }
-    peer.news = withKnownAddresses(news, peer.news);
-    peer.heardAt = now;
-    peer.listedLeaving = peer.listedLeaving && !restarted;
-    return restarted ? HeardResult::New : HeardResult::Accepted;
+    peer.report = withKnownAddresses(report, peer.report);
+    peer.lastHeartbeatAt = now;
+    peer.listedAsDraining = peer.listedAsDraining && !restarted;
+    return restarted ? HeartbeatResult::New : HeartbeatResult::Accepted;
 }
 
-void PeerTable::noteVmList(const std::vector<objects::VmEntry> &entries)
+void PeerTable::applyVmList(const std::vector<objects::VmEntry> &entries)
 {
     for (const auto &entry : entries) {
         if (entry.id == m_self) {
             continue;
         }
-        m_listed[entry.id] = entry;
+        m_listedVms[entry.id] = entry;
         const auto peer = m_peers.find(entry.id);
         if (peer != m_peers.end()) {
-            peer->second.listedLeaving = entry.leaving;
+            peer->second.listedAsDraining = entry.leaving;
         }
     }
 }
 
-void PeerTable::noteOwnPause(core::Duration gap, core::Time now)
+void PeerTable::extendTimeouts(core::Duration gap, core::Time now)
 {
     for (auto &[vm, peer] : m_peers) {
-        peer.heardAt = std::max(peer.heardAt, std::min(peer.heardAt + gap, now));
+        peer.lastHeartbeatAt = std::max(peer.lastHeartbeatAt, std::min(peer.lastHeartbeatAt + gap, now));
     }
 }
 
-void PeerTable::forgetSilent(core::Time now)
+void PeerTable::removeSilentPeers(core::Time now)
 {
-    constexpr int TimeoutsUntilForgotten = 10;
-    std::erase_if(m_peers,
-                  [&](const auto &item) { return now - item.second.heardAt > m_timeout * TimeoutsUntilForgotten; });
+    constexpr int TimeoutsUntilRemoved = 10;
+    std::erase_if(m_peers, [&](const auto &item) {
+        return now - item.second.lastHeartbeatAt > m_timeout * TimeoutsUntilRemoved;
+    });
 }
 
-bool PeerTable::alive(const Peer &peer, core::Time now) const
+bool PeerTable::isAlive(const Peer &peer, core::Time now) const
 {
-    return now - peer.heardAt <= m_timeout;
+    return now - peer.lastHeartbeatAt <= m_timeout;
 }
 
 std::vector<std::string> PeerTable::roleHolders(bool selfHoldsRoles, core::Time now) const
 {
     std::vector<std::string> holders;
     for (const auto &[vm, peer] : m_peers) {
-        const bool serving = peer.news.state == DaemonState::Serving && !peer.listedLeaving;
-        if (peer.news.failureDomain == m_failureDomain && serving && alive(peer, now)) {
+        const bool isServing = peer.report.state == DaemonState::Serving && !peer.listedAsDraining;
+        if (peer.report.failureDomain == m_failureDomain && isServing && isAlive(peer, now)) {
             holders.push_back(vm);
         }
     }
@@ -120,15 +121,15 @@
     return holders;
 }
 
-std::vector<core::Address> PeerTable::sendTo() const
+std::vector<core::Address> PeerTable::heartbeatRecipients() const
 {
     std::vector<core::Address> addresses;
     for (const auto &[vm, peer] : m_peers) {
-        if (peer.news.failureDomain == m_failureDomain) {
-            addresses.push_back(peer.news.peerAddress);
+        if (peer.report.failureDomain == m_failureDomain) {
+            addresses.push_back(peer.report.peerAddress);
         }
     }
-    for (const auto &[vm, entry] : m_listed) {
+    for (const auto &[vm, entry] : m_listedVms) {
         if (entry.failureDomain == m_failureDomain && !m_peers.contains(vm)) {
             addresses.push_back(entry.peerAddress);
         }
@@ -140,38 +141,38 @@
 {
     std::set<std::string> domains;
     for (const auto &[vm, peer] : m_peers) {
-        domains.insert(peer.news.failureDomain);
+        domains.insert(peer.report.failureDomain);
     }
-    for (const auto &[vm, entry] : m_listed) {
+    for (const auto &[vm, entry] : m_listedVms) {
         domains.insert(entry.failureDomain);
     }
     domains.erase(m_failureDomain);
     return {domains.begin(), domains.end()};
 }
 
-std::vector<core::Address> PeerTable::contactsIn(const std::string &failureDomain, std::size_t most,
-                                                 core::Time now) const
+std::vector<core::Address> PeerTable::contactAddresses(const std::string &failureDomain, std::size_t maxCount,
+                                                       core::Time now) const
 {
-    std::vector<std::string> heard;
-    std::vector<std::string> others;
+    std::vector<std::string> liveVms;
+    std::vector<std::string> otherVms;
     for (const auto &[vm, peer] : m_peers) {
-        if (peer.news.failureDomain == failureDomain) {
-            (alive(peer, now) ? heard : others).push_back(vm);
+        if (peer.report.failureDomain == failureDomain) {
+            (isAlive(peer, now) ? liveVms : otherVms).push_back(vm);
         }
     }
-    for (const auto &[vm, entry] : m_listed) {
+    for (const auto &[vm, entry] : m_listedVms) {
         if (entry.failureDomain == failureDomain && !m_peers.contains(vm)) {
-            others.push_back(vm);
+            otherVms.push_back(vm);
         }
     }
-    auto order = core::rankByRendezvous(m_failureDomain, std::move(heard));
-    const auto rest = core::rankByRendezvous(m_failureDomain, std::move(others));
-    order.insert(order.end(), rest.begin(), rest.end());
-    order.resize(std::min(order.size(), most));
+    auto rankedVms = core::rankByRendezvous(m_failureDomain, std::move(liveVms));
+    const auto rankedOthers = core::rankByRendezvous(m_failureDomain, std::move(otherVms));
+    rankedVms.insert(rankedVms.end(), rankedOthers.begin(), rankedOthers.end());
+    rankedVms.resize(std::min(rankedVms.size(), maxCount));
     std::vector<core::Address> addresses;
-    for (const auto &vm : order) {
+    for (const auto &vm : rankedVms) {
         const auto peer = m_peers.find(vm);
-        addresses.push_back(peer != m_peers.end() ? peer->second.news.peerAddress : m_listed.at(vm).peerAddress);
+        addresses.push_back(peer != m_peers.end() ? peer->second.report.peerAddress : m_listedVms.at(vm).peerAddress);
     }
     return addresses;
 }
--- a/src/membership/udp_socket.cpp
+++ b/src/membership/udp_socket.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-constexpr std::size_t LargestDatagram = 65536;
+constexpr std::size_t MaxDatagramBytes = 65536;
 
 udp::endpoint endpointOf(const core::Address &address)
 {
@@ -35,7 +35,7 @@
 {
     boost::asio::io_context context;
     udp::socket socket{context};
-    std::atomic<bool> closing{false};
+    std::atomic<bool> isClosing{false};
 };
 
 UdpSocket::UdpSocket(const core::Address &address)
@@ -70,11 +70,11 @@
 
 std::optional<std::string> UdpSocket::receive()
 {
-    constexpr int PollMs = 100;
-    std::vector<char> buffer(LargestDatagram);
-    while (!m_impl->closing) {
-        pollfd waiting{m_impl->socket.native_handle(), POLLIN, 0};
-        if (poll(&waiting, 1, PollMs) <= 0) {
+    constexpr int PollIntervalMs = 100;
+    std::vector<char> buffer(MaxDatagramBytes);
+    while (!m_impl->isClosing) {
+        pollfd pollEntry{m_impl->socket.native_handle(), POLLIN, 0};
+        if (poll(&pollEntry, 1, PollIntervalMs) <= 0) {
             continue;
         }
         boost::system::error_code error;
@@ -89,7 +89,7 @@
 
 void UdpSocket::shutDown()
 {
-    m_impl->closing = true;
+    m_impl->isClosing = true;
 }
 
 } // namespace spurlug::membership
--- a/src/membership/work_codec.cpp
+++ b/src/membership/work_codec.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-std::uint32_t clamp32(std::int64_t value) noexcept
+std::uint32_t clampToUint32(std::int64_t value) noexcept
 {
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(value, 0, UINT32_MAX));
 }
@@ -26,52 +26,52 @@
 void writeWork(const targets::TargetWork &work, wire::TargetWork &out)
 {
     out.set_target(work.target);
-    out.set_read_micros(clamp32(work.work.readMicros));
-    out.set_part_micros(clamp32(work.work.partMicros));
-    out.set_requests(clamp32(work.work.requests));
-    out.set_writers(clamp32(work.work.writers));
-    out.set_tight_requests(clamp32(work.work.tightRequests));
-    out.set_parts(clamp32(work.work.parts));
-    out.set_memory_tokens(clamp32(work.work.memoryTokens));
-    out.set_context_tokens(clamp32(work.work.contextTokens));
-    out.set_due_micros(clamp32(work.dueMicros));
+    out.set_read_micros(clampToUint32(work.work.prefillMicros));
+    out.set_part_micros(clampToUint32(work.work.partPrefillMicros));
+    out.set_requests(clampToUint32(work.work.requests));
+    out.set_writers(clampToUint32(work.work.decodingRequests));
+    out.set_tight_requests(clampToUint32(work.work.shortGapRequests));
+    out.set_parts(clampToUint32(work.work.prefillParts));
+    out.set_memory_tokens(clampToUint32(work.work.memoryTokens));
+    out.set_context_tokens(clampToUint32(work.work.decodingContextTokens));
+    out.set_due_micros(clampToUint32(work.prefillDueMicros));
 }
 
 targets::TargetWork readWork(const wire::TargetWork &in)
 {
     targets::TargetWork work;
     work.target = in.target();
-    work.work.readMicros = in.read_micros();
-    work.work.partMicros = in.part_micros();
+    work.work.prefillMicros = in.read_micros();
+    work.work.partPrefillMicros = in.part_micros();
     work.work.requests = in.requests();
-    work.work.writers = in.writers();
-    work.work.tightRequests = in.tight_requests();
-    work.work.parts = in.parts();
+    work.work.decodingRequests = in.writers();
+    work.work.shortGapRequests = in.tight_requests();
+    work.work.prefillParts = in.parts();
     work.work.memoryTokens = in.memory_tokens();
-    work.work.contextTokens = in.context_tokens();
-    work.dueMicros = in.due_micros();
+    work.work.decodingContextTokens = in.context_tokens();
+    work.prefillDueMicros = in.due_micros();
     return work;
 }
 
-void writeRate(const targets::RateNews &news, wire::RateNews &out)
+void writeRate(const targets::RateReport &report, wire::RateNews &out)
 {
-    constexpr double Most = UINT32_MAX;
-    out.set_target(news.target);
-    out.set_lifted(!news.perSecond);
-    out.set_per_1000_seconds(
-        static_cast<std::uint32_t>(std::clamp(std::floor(news.perSecond.value_or(0) / RateUnit), 0.0, Most)));
-    out.set_age_ms(clamp32(core::toMs(news.age)));
+    constexpr double MaxFieldValue = UINT32_MAX;
+    out.set_target(report.target);
+    out.set_lifted(!report.perSecond);
+    out.set_per_1000_seconds(static_cast<std::uint32_t>(
+        std::clamp(std::floor(report.perSecond.value_or(0) / RateUnit), 0.0, MaxFieldValue)));
+    out.set_age_ms(clampToUint32(core::toMs(report.age)));
 }
 
-targets::RateNews readRate(const wire::RateNews &in)
+targets::RateReport readRate(const wire::RateNews &in)
 {
-    targets::RateNews news;
-    news.target = in.target();
+    targets::RateReport report;
+    report.target = in.target();
     if (!in.lifted()) {
-        news.perSecond = in.per_1000_seconds() * RateUnit;
+        report.perSecond = in.per_1000_seconds() * RateUnit;
     }
-    news.age = core::fromMs(in.age_ms());
-    return news;
+    report.age = core::fromMs(in.age_ms());
+    return report;
 }
 
 } // namespace spurlug::membership
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -54,16 +54,16 @@
 
 Timer firstTokenTimer(std::int64_t tokens) noexcept
 {
-    constexpr std::int64_t Medium = 4'000;
-    constexpr std::int64_t Large = 16'000;
-    constexpr std::int64_t Huge = 100'000;
-    if (tokens >= Huge) {
+    constexpr std::int64_t MediumPromptTokens = 4'000;
+    constexpr std::int64_t LargePromptTokens = 16'000;
+    constexpr std::int64_t HugePromptTokens = 100'000;
+    if (tokens >= HugePromptTokens) {
         return Timer::FirstToken100k;
     }
-    if (tokens >= Large) {
+    if (tokens >= LargePromptTokens) {
         return Timer::FirstToken16k;
     }
-    return tokens >= Medium ? Timer::FirstToken4k : Timer::FirstToken1k;
+    return tokens >= MediumPromptTokens ? Timer::FirstToken4k : Timer::FirstToken1k;
 }
 
 struct Metrics::Quantiles
@@ -105,13 +105,13 @@
     }
 }
 
-void Metrics::time(Timer timer, core::Duration span)
+void Metrics::addSample(Timer timer, core::Duration span)
 {
     absl::MutexLock lock(&m_mutex);
     m_timers.at(timer)->set(absl::ToDoubleSeconds(span));
 }
 
-void Metrics::gauge(const std::string &name, double value)
+void Metrics::setGauge(const std::string &name, double value)
 {
     absl::MutexLock lock(&m_mutex);
     m_gauges[name] = value;
--- a/src/net/beast_convert.h
+++ b/src/net/beast_convert.h
@@ -41,24 +41,24 @@
     }
 }
 
-/// \brief Calls `onExpiry` after a timeout, unless disarmed before.
-class Expiry
+/// \brief Calls `onTimeout` after a timeout, unless disarmed before.
+class OperationTimeout
 {
 public:
     template<typename Executor>
-    Expiry(const Executor &executor, std::function<void()> onExpiry)
+    OperationTimeout(const Executor &executor, std::function<void()> onTimeout)
         : m_timer(executor)
         , m_state(std::make_shared<State>())
-        , m_onExpiry(std::move(onExpiry))
+        , m_onTimeout(std::move(onTimeout))
     { }
 
-    ~Expiry()
+    ~OperationTimeout()
     {
         disarm();
     }
 
-    Expiry(const Expiry &) = delete;
-    Expiry &operator=(const Expiry &) = delete;
+    OperationTimeout(const OperationTimeout &) = delete;
+    OperationTimeout &operator=(const OperationTimeout &) = delete;
 
     /// \brief Starts or restarts the timeout.
     template<typename Span>
@@ -66,18 +66,20 @@
     {
         m_state->expired = false;
         m_timer.expires_after(span);
-        m_timer.async_wait([this, state = m_state, armed = ++m_state->armed](const boost::system::error_code &error) {
-            // The handler still runs when the timer expires just before it is disarmed: only the latest arming counts.
-            if (!error && state->armed == armed) {
-                state->expired = true;
-                m_onExpiry();
-            }
-        });
+        m_timer.async_wait(
+            [this, state = m_state, armed = ++m_state->armCount](const boost::system::error_code &error) {
+                // The handler still runs when the timer expires just before it is disarmed: only the latest arming
+                // counts.
+                if (!error && state->armCount == armed) {
+                    state->expired = true;
+                    m_onTimeout();
+                }
+            });
     }
 
     void disarm()
     {
-        ++m_state->armed;
+        ++m_state->armCount;
         m_timer.cancel();
     }
 
@@ -89,13 +91,13 @@
 private:
     struct State
     {
-        std::uint64_t armed = 0; ///< Number of calls to `arm` and `disarm`.
+        std::uint64_t armCount = 0; ///< Number of calls to `arm` and `disarm`.
         bool expired = false;
     };
 
     Timer m_timer;
     std::shared_ptr<State> m_state; ///< Shared with the timer's handler, which may run after this object is destroyed.
-    std::function<void()> m_onExpiry;
+    std::function<void()> m_onTimeout;
 };
 
 } // namespace spurlug::net
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -26,10 +26,10 @@
 using boost::system::error_code;
 
 constexpr unsigned HttpVersion = 11;
-constexpr std::size_t BodyPieceBytes = 16 << 10;
-constexpr std::uint32_t LargestHead = 64 << 10;
+constexpr std::size_t MaxBodyPieceBytes = 16 << 10;
+constexpr std::uint32_t MaxHeadBytes = 64 << 10;
 constexpr int FirstFinalStatus = 200;
-constexpr std::uint64_t LargestBody = 256 << 20; // Limit for targets' answers; real ones are far smaller.
+constexpr std::uint64_t MaxBodyBytes = 256 << 20; // Limit for targets' answers; real ones are far smaller.
 
 using Parser = http::response_parser<http::buffer_body>;
 
@@ -39,7 +39,7 @@
     ResponseHead head;
     head.status = static_cast<int>(message.result_int());
     const auto phrase = message.reason();
-    head.phrase.assign(phrase.data(), phrase.size());
+    head.reasonPhrase.assign(phrase.data(), phrase.size());
     head.headers = fromBeast(message);
     if (parser.chunked()) {
         head.framing = BodyFraming::Chunked;
@@ -68,27 +68,27 @@
 
     /// Awaits an operation; closes the connection when it takes longer than `span`.
     template<typename Operation>
-    Task<error_code> within(core::Duration span, Operation operation)
+    Task<error_code> awaitWithTimeout(core::Duration span, Operation operation)
     {
         if (span <= absl::ZeroDuration()) {
             close();
             co_return error_code(asio::error::timed_out);
         }
-        expiry.arm(timerSpan(span));
+        expiry.arm(toTimerDuration(span));
         const auto error = co_await operation();
         expiry.disarm();
         co_return expiry.expired() ? error_code(asio::error::timed_out) : error;
     }
 
     tcp::socket socket;
-    Expiry expiry;
+    OperationTimeout expiry;
     beast::flat_buffer buffer;
     http::request<http::string_body> request;
     std::unique_ptr<Parser> parser;
-    std::string problem;
+    std::string lastError;
     bool refused = false;
-    bool sent = false;
-    bool serverKeeps = false; ///< Whether the server keeps the connection open after this response.
+    bool requestSent = false;
+    bool serverKeepsAlive = false; ///< Whether the server keeps the connection open after this response.
 };
 
 ClientConnection::ClientConnection(Loop &loop)
@@ -106,18 +106,18 @@
     error_code invalid;
     const auto host = asio::ip::make_address(address.host, invalid);
     if (invalid) {
-        impl->problem = core::cat(address.host, " is not an IP address");
-        co_return impl->problem;
+        impl->lastError = core::cat(address.host, " is not an IP address");
+        co_return impl->lastError;
     }
-    const auto error = co_await impl->within(timeout, [&]() -> Task<error_code> {
+    const auto error = co_await impl->awaitWithTimeout(timeout, [&]() -> Task<error_code> {
         auto [failure] = co_await impl->socket.async_connect(tcp::endpoint(host, address.port), Awaited);
         co_return failure;
     });
     impl->refused = error == asio::error::connection_refused;
     if (error) {
-        impl->problem = core::cat("connect: ", error.message());
+        impl->lastError = core::cat("connect: ", error.message());
         impl->close();
-        co_return impl->problem;
+        co_return impl->lastError;
     }
     error_code ignored; // A failure only increases latency.
     impl->socket.set_option(tcp::no_delay(true), ignored);
@@ -136,12 +136,12 @@
         message.body() = request.body;
         message.content_length(message.body().size());
     }
-    m_impl->sent = false;
+    m_impl->requestSent = false;
     m_impl->parser = nullptr;
     http::async_write(m_impl->socket, message, [impl = m_impl](const error_code &error, std::size_t) {
-        impl->sent = !error;
+        impl->requestSent = !error;
         if (error && error != asio::error::operation_aborted) {
-            impl->problem = core::cat("send: ", error.message());
+            impl->lastError = core::cat("send: ", error.message());
         }
     });
 }
@@ -152,20 +152,20 @@
     for (;;) {
         impl->parser = std::make_unique<Parser>();
         auto &parser = *impl->parser;
-        parser.header_limit(LargestHead);
-        parser.body_limit(LargestBody);
+        parser.header_limit(MaxHeadBytes);
+        parser.body_limit(MaxBodyBytes);
         parser.skip(impl->request.method() == http::verb::head);
-        const auto error = co_await impl->within(deadline - core::now(), [&]() -> Task<error_code> {
+        const auto error = co_await impl->awaitWithTimeout(deadline - core::now(), [&]() -> Task<error_code> {
             auto [failure, bytes] = co_await http::async_read_header(impl->socket, impl->buffer, parser, Awaited);
             co_return failure;
         });
         if (error) {
-            impl->problem = core::cat("head: ", error.message());
+            impl->lastError = core::cat("head: ", error.message());
             impl->close();
             co_return std::nullopt;
         }
         if (parser.get().result_int() >= FirstFinalStatus) {
-            impl->serverKeeps = parser.keep_alive();
+            impl->serverKeepsAlive = parser.keep_alive();
             co_return toHead(parser);
         }
     }
@@ -175,14 +175,14 @@
 {
     const auto impl = m_impl;
     auto &parser = *impl->parser;
-    std::array<char, BodyPieceBytes> bytes{};
+    std::array<char, MaxBodyPieceBytes> bytes{};
     BodyPiece piece;
     while (!parser.is_done() && piece.bytes.empty()) {
         auto &body = parser.get().body();
         body.data = bytes.data();
         body.size = bytes.size();
         body.more = true;
-        auto error = co_await impl->within(deadline - core::now(), [&]() -> Task<error_code> {
+        auto error = co_await impl->awaitWithTimeout(deadline - core::now(), [&]() -> Task<error_code> {
             auto [failure, read] = co_await http::async_read_some(impl->socket, impl->buffer, parser, Awaited);
             co_return failure;
         });
@@ -191,9 +191,9 @@
         }
         piece.bytes.assign(bytes.data(), bytes.size() - parser.get().body().size);
         if (error) {
-            impl->problem = core::cat("body: ", error.message());
+            impl->lastError = core::cat("body: ", error.message());
             impl->close();
-            piece.state = BodyPiece::State::Broken;
+            piece.state = BodyPiece::State::Failed;
             co_return piece;
         }
     }
@@ -201,21 +201,21 @@
     co_return piece;
 }
 
-bool ClientConnection::reusable() const
+bool ClientConnection::isReusable() const
 {
     const auto &impl = *m_impl;
-    return impl.socket.is_open() && impl.sent && impl.serverKeeps && impl.parser && impl.parser->is_done()
+    return impl.socket.is_open() && impl.requestSent && impl.serverKeepsAlive && impl.parser && impl.parser->is_done()
         && impl.buffer.size() == 0;
 }
 
-bool ClientConnection::refused() const noexcept
+bool ClientConnection::connectionRefused() const noexcept
 {
     return m_impl->refused;
 }
 
-const std::string &ClientConnection::problem() const noexcept
+const std::string &ClientConnection::lastError() const noexcept
 {
-    return m_impl->problem;
+    return m_impl->lastError;
 }
 
 void ClientConnection::abort()
@@ -224,17 +224,17 @@
 }
 
 Task<std::optional<Response>> exchange(Loop &loop, core::Address address, Request request, core::Time deadline,
-                                       std::string &problem)
+                                       std::string &error)
 {
     ClientConnection connection(loop);
-    problem = co_await connection.connect(address, deadline - core::now());
-    if (!problem.empty()) {
+    error = co_await connection.connect(address, deadline - core::now());
+    if (!error.empty()) {
         co_return std::nullopt;
     }
     connection.startSend(request);
     auto head = co_await connection.readHead(deadline);
     if (!head) {
-        problem = connection.problem();
+        error = connection.lastError();
         co_return std::nullopt;
     }
     Response response{std::move(*head), {}};
@@ -244,8 +244,8 @@
         if (piece.state == BodyPiece::State::Complete) {
             co_return response;
         }
-        if (piece.state == BodyPiece::State::Broken) {
-            problem = connection.problem();
+        if (piece.state == BodyPiece::State::Failed) {
+            error = connection.lastError();
             co_return std::nullopt;
         }
     }
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -37,14 +37,13 @@
 
 void Headers::remove(std::string_view name)
 {
-    std::erase_if(m_fields, [&](const HeaderField &field) { return core::equalIgnoringCase(field.name, name); });
+    std::erase_if(m_fields, [&](const HeaderField &field) { return core::equalsIgnoreCase(field.name, name); });
 }
 
 const std::string *Headers::find(std::string_view name) const noexcept
 {
-    const auto found = std::find_if(m_fields.begin(), m_fields.end(), [&](const HeaderField &field) {
-        return core::equalIgnoringCase(field.name, name);
-    });
+    const auto found = std::find_if(m_fields.begin(), m_fields.end(),
+                                    [&](const HeaderField &field) { return core::equalsIgnoreCase(field.name, name); });
     return found == m_fields.end() ? nullptr : &found->value;
 }
 
@@ -54,15 +53,15 @@
     return found != nullptr ? std::string_view(*found) : std::string_view();
 }
 
-bool Headers::holdsToken(std::string_view name, std::string_view token) const
+bool Headers::containsToken(std::string_view name, std::string_view token) const
 {
     for (const auto &field : m_fields) {
-        if (!core::equalIgnoringCase(field.name, name)) {
+        if (!core::equalsIgnoreCase(field.name, name)) {
             continue;
         }
         for (const auto piece : absl::StrSplit(field.value, ',')) {
             const auto trimmed = absl::StripAsciiWhitespace(piece);
-            if (core::equalIgnoringCase({trimmed.data(), trimmed.size()}, token)) {
+            if (core::equalsIgnoreCase({trimmed.data(), trimmed.size()}, token)) {
                 return true;
             }
         }
@@ -78,8 +77,8 @@
 bool isHopByHop(const Headers &headers, std::string_view name)
 {
     const bool listed = std::any_of(HopByHopNames.begin(), HopByHopNames.end(),
-                                    [&](std::string_view hop) { return core::equalIgnoringCase(hop, name); });
-    return listed || headers.holdsToken("Connection", name);
+                                    [&](std::string_view hop) { return core::equalsIgnoreCase(hop, name); });
+    return listed || headers.containsToken("Connection", name);
 }
 
 } // namespace spurlug::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-constexpr int Backlog = 1024; // Length of the accept queue; a full queue delays a caller by seconds.
-constexpr auto PauseWithoutDescriptors = absl::Milliseconds(20);
+constexpr int AcceptBacklog = 1024; // Length of the accept queue; a full queue delays a caller by seconds.
+constexpr auto AcceptRetryDelay = absl::Milliseconds(20);
 
 } // namespace
 
@@ -32,25 +32,25 @@
         m_acceptor.open(endpoint.protocol());
         m_acceptor.set_option(tcp::acceptor::reuse_address(true));
         m_acceptor.bind(endpoint);
-        m_acceptor.listen(Backlog);
+        m_acceptor.listen(AcceptBacklog);
         m_address.port = m_acceptor.local_endpoint().port();
     } catch (const boost::system::system_error &error) {
         throw core::NetworkError(core::cat(address.text(), ": cannot listen: ", error.code().message()));
     }
 }
 
-Task<> Listener::run(std::function<void(asio::ip::tcp::socket)> accepted)
+Task<> Listener::run(std::function<void(asio::ip::tcp::socket)> onAccepted)
 {
     while (m_acceptor.is_open()) {
         auto [error, socket] = co_await m_acceptor.async_accept(Awaited);
         if (!error) {
             boost::system::error_code ignored;
             socket.set_option(asio::ip::tcp::no_delay(true), ignored); // A failure only increases latency.
-            accepted(std::move(socket));
+            onAccepted(std::move(socket));
         } else if (m_acceptor.is_open()) {
             core::log(core::LogLevel::Warning, "accept_failed",
                       {{"address", m_address.text()}, {"error", error.message()}});
-            co_await sleepFor(PauseWithoutDescriptors);
+            co_await sleepFor(AcceptRetryDelay);
         }
     }
 }
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -27,24 +27,24 @@
 using boost::system::error_code;
 
 constexpr unsigned HttpVersion = 11;
-constexpr auto LingerTime = absl::Milliseconds(500); // For the caller to receive the last answer before the close.
-constexpr std::size_t LongestLinger = 1 << 20; // Maximum number of bytes discarded while lingering.
-constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr auto LingerTimeout = absl::Milliseconds(500); // For the caller to receive the last answer before the close.
+constexpr std::size_t MaxLingerBytes = 1 << 20; // Maximum number of bytes discarded while lingering.
+constexpr std::string_view ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
-ReadEnd endOf(const error_code &error, bool expired)
+ReadFailure toReadFailure(const error_code &error, bool expired)
 {
     if (expired) {
-        return ReadEnd::TooSlow;
+        return ReadFailure::TimedOut;
     }
     if (error == http::error::header_limit) {
-        return ReadEnd::HeadTooLarge;
+        return ReadFailure::HeadTooLarge;
     }
     if (error == http::error::body_limit) {
-        return ReadEnd::BodyTooLarge;
+        return ReadFailure::BodyTooLarge;
     }
-    const bool parserFault = error.category() == http::make_error_code(http::error::bad_method).category();
-    const bool connectionEnd = error == http::error::end_of_stream || error == http::error::partial_message;
-    return parserFault && !connectionEnd ? ReadEnd::Malformed : ReadEnd::Closed;
+    const bool isParserError = error.category() == http::make_error_code(http::error::bad_method).category();
+    const bool isConnectionEnd = error == http::error::end_of_stream || error == http::error::partial_message;
+    return isParserError && !isConnectionEnd ? ReadFailure::Malformed : ReadFailure::Closed;
 }
 
 Request toRequest(http::request<http::string_body> message, bool hasBody)
@@ -66,8 +66,8 @@
 {
     message.version(HttpVersion);
     message.result(static_cast<unsigned>(head.status));
-    if (!head.phrase.empty()) {
-        message.reason(head.phrase);
+    if (!head.reasonPhrase.empty()) {
+        message.reason(head.reasonPhrase);
     }
     toBeast(head.headers, message);
     if (!keepAlive) {
@@ -93,9 +93,9 @@
 
     /// Awaits an operation; resets the connection when it takes longer than `span`.
     template<typename Operation>
-    Task<error_code> within(core::Duration span, Operation operation)
+    Task<error_code> awaitWithTimeout(core::Duration span, Operation operation)
     {
-        expiry.arm(timerSpan(span));
+        expiry.arm(toTimerDuration(span));
         const auto error = co_await operation();
         expiry.disarm();
         co_return error;
@@ -104,7 +104,7 @@
     template<typename Message>
     Task<bool> send(Message &message, core::Duration span)
     {
-        const auto error = co_await within(span, [&]() -> Task<error_code> {
+        const auto error = co_await awaitWithTimeout(span, [&]() -> Task<error_code> {
             auto [failure, bytes] = co_await http::async_write(socket, message, Awaited);
             co_return failure;
         });
@@ -113,7 +113,7 @@
 
     Task<bool> sendBytes(std::string bytes, core::Duration span)
     {
-        const auto error = co_await within(span, [&]() -> Task<error_code> {
+        const auto error = co_await awaitWithTimeout(span, [&]() -> Task<error_code> {
             auto [failure, sent] = co_await asio::async_write(socket, asio::buffer(bytes), Awaited);
             co_return failure;
         });
@@ -122,36 +122,37 @@
 
     void awaitReadable()
     {
-        socket.async_wait(tcp::socket::wait_read,
-                          asio::bind_cancellation_slot(watchEnd.slot(), [self = shared_from_this()](error_code error) {
-                              if (!error) {
-                                  self->readable();
-                              }
-                          }));
+        socket.async_wait(
+            tcp::socket::wait_read,
+            asio::bind_cancellation_slot(watchCancellation.slot(), [self = shared_from_this()](error_code error) {
+                if (!error) {
+                    self->onReadable();
+                }
+            }));
     }
 
     /// Distinguishes the end of the connection from a pipelined request.
-    void readable()
+    void onReadable()
     {
-        if (!gone) {
+        if (!onClosed) {
             return;
         }
         char byte = 0;
         const auto received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        const bool nothingYet = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
-        if (nothingYet) {
+        const bool wouldBlock = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+        if (wouldBlock) {
             awaitReadable();
         } else if (received <= 0) {
-            const auto call = std::exchange(gone, nullptr);
+            const auto call = std::exchange(onClosed, nullptr);
             call();
         } // Otherwise a pipelined request arrived; the connection cannot be watched until it is read.
     }
 
     tcp::socket socket;
     beast::flat_buffer buffer;
-    Expiry expiry;
-    asio::cancellation_signal watchEnd;
-    std::function<void()> gone;
+    OperationTimeout expiry;
+    asio::cancellation_signal watchCancellation;
+    std::function<void()> onClosed;
     std::string peer;
 };
 
@@ -174,38 +175,38 @@
     const auto impl = m_impl;
     ReadResult result;
     if (impl->buffer.size() == 0) {
-        const auto error = co_await impl->within(limits.idleTimeout, [&]() -> Task<error_code> {
+        const auto error = co_await impl->awaitWithTimeout(limits.idleTimeout, [&]() -> Task<error_code> {
             auto [failure] = co_await impl->socket.async_wait(tcp::socket::wait_read, Awaited);
             co_return failure;
         });
         if (error) {
-            result.end = impl->expiry.expired() ? ReadEnd::Idle : ReadEnd::Closed;
+            result.failure = impl->expiry.expired() ? ReadFailure::Idle : ReadFailure::Closed;
             co_return result;
         }
     }
     result.firstByteAt = core::now();
     http::request_parser<http::string_body> parser;
-    parser.header_limit(static_cast<std::uint32_t>(limits.headBytes));
-    parser.body_limit(limits.bodyBytes);
-    auto error = co_await impl->within(limits.headTimeout, [&]() -> Task<error_code> {
+    parser.header_limit(static_cast<std::uint32_t>(limits.maxHeadBytes));
+    parser.body_limit(limits.maxBodyBytes);
+    auto error = co_await impl->awaitWithTimeout(limits.headTimeout, [&]() -> Task<error_code> {
         auto [failure, bytes] = co_await http::async_read_header(impl->socket, impl->buffer, parser, Awaited);
         co_return failure;
     });
     if (!error && beast::iequals(parser.get()[http::field::expect], "100-continue")) {
-        const bool sent = co_await impl->sendBytes(std::string(Continue), limits.headTimeout);
+        const bool sent = co_await impl->sendBytes(std::string(ContinueResponse), limits.headTimeout);
         if (!sent) {
-            result.end = ReadEnd::Closed;
+            result.failure = ReadFailure::Closed;
             co_return result;
         }
     }
     if (!error && !parser.is_done()) {
-        error = co_await impl->within(limits.bodyTimeout, [&]() -> Task<error_code> {
+        error = co_await impl->awaitWithTimeout(limits.bodyTimeout, [&]() -> Task<error_code> {
             auto [failure, bytes] = co_await http::async_read(impl->socket, impl->buffer, parser, Awaited);
             co_return failure;
         });
     }
     if (error) {
-        result.end = endOf(error, impl->expiry.expired());
+        result.failure = toReadFailure(error, impl->expiry.expired());
         result.detail = error.message();
         co_return result;
     }
@@ -231,7 +232,7 @@
     fillHead(message, head, keepAlive);
     message.chunked(true);
     http::response_serializer<http::empty_body> serializer(message);
-    const auto error = co_await impl->within(deadline - core::now(), [&]() -> Task<error_code> {
+    const auto error = co_await impl->awaitWithTimeout(deadline - core::now(), [&]() -> Task<error_code> {
         auto [failure, bytes] = co_await http::async_write_header(impl->socket, serializer, Awaited);
         co_return failure;
     });
@@ -241,7 +242,7 @@
 Task<bool> ServerConnection::writeChunk(std::string bytes, core::Time deadline)
 {
     const auto impl = m_impl;
-    const auto error = co_await impl->within(deadline - core::now(), [&]() -> Task<error_code> {
+    const auto error = co_await impl->awaitWithTimeout(deadline - core::now(), [&]() -> Task<error_code> {
         auto [failure, sent] = co_await asio::async_write(impl->socket, http::make_chunk(asio::buffer(bytes)), Awaited);
         co_return failure;
     });
@@ -251,23 +252,23 @@
 Task<bool> ServerConnection::writeEnd(core::Time deadline)
 {
     const auto impl = m_impl;
-    const auto error = co_await impl->within(deadline - core::now(), [&]() -> Task<error_code> {
+    const auto error = co_await impl->awaitWithTimeout(deadline - core::now(), [&]() -> Task<error_code> {
         auto [failure, sent] = co_await asio::async_write(impl->socket, http::make_chunk_last(), Awaited);
         co_return failure;
     });
     co_return !error;
 }
 
-void ServerConnection::watch(std::function<void()> gone)
+void ServerConnection::watch(std::function<void()> onClosed)
 {
-    m_impl->gone = std::move(gone);
+    m_impl->onClosed = std::move(onClosed);
     m_impl->awaitReadable();
 }
 
 void ServerConnection::stopWatching()
 {
-    m_impl->gone = nullptr;
-    m_impl->watchEnd.emit(asio::cancellation_type::all);
+    m_impl->onClosed = nullptr;
+    m_impl->watchCancellation.emit(asio::cancellation_type::all);
 }
 
 void ServerConnection::close()
@@ -277,15 +278,15 @@
     m_impl->socket.close(ignored);
 }
 
-Task<> ServerConnection::closeGently()
+Task<> ServerConnection::closeLingering()
 {
     const auto impl = m_impl;
     error_code ignored; // The caller may have closed the connection already.
     impl->socket.shutdown(tcp::socket::shutdown_send, ignored);
-    const auto error = co_await impl->within(LingerTime, [&]() -> Task<error_code> {
+    const auto error = co_await impl->awaitWithTimeout(LingerTimeout, [&]() -> Task<error_code> {
         std::array<char, 8192> discarded{};
         error_code failure;
-        for (std::size_t total = 0; !failure && total < LongestLinger;) {
+        for (std::size_t total = 0; !failure && total < MaxLingerBytes;) {
             auto [readError, bytes] = co_await impl->socket.async_read_some(asio::buffer(discarded), Awaited);
             failure = readError;
             total += bytes;
@@ -301,7 +302,7 @@
     m_impl->reset();
 }
 
-const std::string &ServerConnection::peer() const noexcept
+const std::string &ServerConnection::peerAddress() const noexcept
 {
     return m_impl->peer;
 }
--- a/src/objects/object_api.cpp
+++ b/src/objects/object_api.cpp
@@ -41,9 +41,10 @@
 /// Calls each address in turn until one answers with a status below 500 (but not 429). A write whose answer was lost
 /// is not repeated.
 template<typename Call>
-httplib::Result callAny(const std::vector<core::Address> &addresses, core::Duration timeout, bool isWrite, Call call)
+httplib::Result callFirstAvailable(const std::vector<core::Address> &addresses, core::Duration timeout, bool isWrite,
+                                   Call call)
 {
-    std::string problem = "no platform address is configured";
+    std::string lastError = "no platform address is configured";
     for (const auto &address : addresses) {
         auto client = connect(address, timeout);
         auto result = call(client);
@@ -56,9 +57,9 @@
             throw core::UnknownResult(
                 core::cat("the platform's answer was lost: ", httplib::to_string(result.error())));
         }
-        problem = result ? core::cat("status ", result->status) : httplib::to_string(result.error());
+        lastError = result ? core::cat("status ", result->status) : httplib::to_string(result.error());
     }
-    throw core::PlatformUnavailable(problem);
+    throw core::PlatformUnavailable(lastError);
 }
 
 Object toObject(const httplib::Response &response)
@@ -69,7 +70,7 @@
     return object;
 }
 
-void throwUnlessApplied(const std::string &name, const httplib::Result &result)
+void throwIfNotApplied(const std::string &name, const httplib::Result &result)
 {
     if (result->status == Conflict) {
         throw core::VersionConflict(core::cat(name, " has version ", result->get_header_value("Object-Version")));
@@ -89,7 +90,8 @@
 std::optional<Object> HttpObjectApi::read(const std::string &name) const
 {
     const auto path = core::cat("/objects/", name);
-    const auto result = callAny(m_addresses, m_timeout, false, [&](auto &client) { return client.Get(path); });
+    const auto result
+        = callFirstAvailable(m_addresses, m_timeout, false, [&](auto &client) { return client.Get(path); });
     if (result->status == NotFound) {
         return std::nullopt;
     }
@@ -103,7 +105,8 @@
                                                    core::Duration wait) const
 {
     const auto path = core::cat("/objects/", name, "?after=", version, "&waitMs=", core::toMs(wait));
-    const auto result = callAny(m_addresses, m_timeout + wait, false, [&](auto &client) { return client.Get(path); });
+    const auto result
+        = callFirstAvailable(m_addresses, m_timeout + wait, false, [&](auto &client) { return client.Get(path); });
     if (result->status == NotModified) {
         return std::nullopt;
     }
@@ -117,17 +120,18 @@
 {
     const auto path = core::cat("/objects/", name);
     const httplib::Headers headers{{"If-Version", std::to_string(version)}};
-    const auto result = callAny(m_addresses, m_timeout, true, [&](auto &client) {
+    const auto result = callFirstAvailable(m_addresses, m_timeout, true, [&](auto &client) {
         return client.Put(path, headers, value, "application/octet-stream");
     });
-    throwUnlessApplied(name, result);
+    throwIfNotApplied(name, result);
     return std::stoll(result->get_header_value("Object-Version"));
 }
 
 std::vector<std::string> HttpObjectApi::list(const std::string &prefix) const
 {
     const auto path = core::cat("/objects?prefix=", prefix);
-    const auto result = callAny(m_addresses, m_timeout, false, [&](auto &client) { return client.Get(path); });
+    const auto result
+        = callFirstAvailable(m_addresses, m_timeout, false, [&](auto &client) { return client.Get(path); });
     const auto names = nlohmann::json::parse(result->body, nullptr, false);
     if (!names.is_array()) {
         throw core::PlatformUnavailable("the list of objects is not an array");
@@ -140,13 +144,14 @@
     const auto path = core::cat("/objects/", name);
     const httplib::Headers headers{{"If-Version", std::to_string(version)}};
     const auto result
-        = callAny(m_addresses, m_timeout, true, [&](auto &client) { return client.Delete(path, headers); });
-    throwUnlessApplied(name, result);
+        = callFirstAvailable(m_addresses, m_timeout, true, [&](auto &client) { return client.Delete(path, headers); });
+    throwIfNotApplied(name, result);
 }
 
 std::vector<VmEntry> HttpObjectApi::vms() const
 {
-    const auto result = callAny(m_addresses, m_timeout, false, [](auto &client) { return client.Get("/vms"); });
+    const auto result
+        = callFirstAvailable(m_addresses, m_timeout, false, [](auto &client) { return client.Get("/vms"); });
     const auto list = nlohmann::json::parse(result->body, nullptr, false);
     if (result->status != Ok || !list.is_array()) {
         throw core::PlatformUnavailable("the VM list is not an array");
--- a/src/relay/attempt.cpp
+++ b/src/relay/attempt.cpp
@@ -12,8 +12,8 @@
 {
 
 /// Maximum number of queued events for a slow caller before reading from the target pauses.
-constexpr std::size_t MostWaiting = 64;
-constexpr auto WaitForCaller = absl::Milliseconds(5); ///< Interval between checks of the queue during that pause.
+constexpr std::size_t MaxQueuedEvents = 64;
+constexpr auto QueueCheckInterval = absl::Milliseconds(5); ///< Interval between checks of the queue during that pause.
 
 } // namespace
 
@@ -42,7 +42,7 @@
     m_connection.abort();
 }
 
-void Attempt::end(AttemptStage stage, std::string detail)
+void Attempt::postEnd(AttemptStage stage, std::string detail)
 {
     if (!m_aborted) {
         m_inbox->events.post(AttemptEnded{m_number, stage, std::move(detail)});
@@ -60,24 +60,24 @@
         co_return;
     }
     if (!problem.empty()) {
-        end(AttemptStage::NotSent, problem);
+        postEnd(AttemptStage::NotConnected, problem);
         co_return;
     }
     if (!mayWrite()) {
         m_connection.abort();
-        end(AttemptStage::Withheld, {});
+        postEnd(AttemptStage::Cancelled, {});
         co_return;
     }
     m_connection.startSend(message);
     auto head = co_await m_connection.readHead(deadline);
     if (!head) {
-        end(AttemptStage::Sent, m_connection.problem());
+        postEnd(AttemptStage::Sent, m_connection.lastError());
         co_return;
     }
     m_inbox->events.post(HeadArrived{m_number, std::move(*head)});
     for (;;) {
-        while (m_inbox->events.size() > MostWaiting && !m_aborted) {
-            co_await net::sleepFor(WaitForCaller);
+        while (m_inbox->events.size() > MaxQueuedEvents && !m_aborted) {
+            co_await net::sleepFor(QueueCheckInterval);
         }
         if (m_aborted) {
             co_return;
@@ -87,11 +87,11 @@
             m_inbox->events.post(BytesArrived{m_number, std::move(piece.bytes)});
         }
         if (piece.state == net::BodyPiece::State::Complete) {
-            end(AttemptStage::Answered, {});
+            postEnd(AttemptStage::Answered, {});
             co_return;
         }
-        if (piece.state == net::BodyPiece::State::Broken) {
-            end(AttemptStage::Sent, m_connection.problem());
+        if (piece.state == net::BodyPiece::State::Failed) {
+            postEnd(AttemptStage::Sent, m_connection.lastError());
             co_return;
         }
     }
--- a/src/relay/domain_links.cpp
+++ b/src/relay/domain_links.cpp
@@ -14,46 +14,46 @@
 {
 
 /// A single unreachable target is taken to have failed itself.
-constexpr std::size_t EnoughTargets = 2;
+constexpr std::size_t MinFailedTargets = 2;
 /// A link that is down is tried again this long after the last failure; the next failure marks it down again at once.
-constexpr auto TriedAgainAfter = absl::Milliseconds(1500);
+constexpr auto RetryDelay = absl::Milliseconds(1500);
 /// Failures further apart than this are treated as unrelated.
-constexpr auto RememberedFor = absl::Seconds(4);
+constexpr auto FailureRetention = absl::Seconds(4);
 
 } // namespace
 
-DomainLinks::Pair DomainLinks::pairOf(const std::string &left, const std::string &right)
+DomainLinks::DomainPair DomainLinks::domainPair(const std::string &left, const std::string &right)
 {
-    return left < right ? Pair{left, right} : Pair{right, left};
+    return left < right ? DomainPair{left, right} : DomainPair{right, left};
 }
 
-void DomainLinks::failed(const std::string &from, const std::string &to, std::uint32_t target, core::Time now)
+void DomainLinks::noteFailure(const std::string &from, const std::string &to, std::uint32_t target, core::Time now)
 {
     if (from == to) {
         return;
     }
-    auto &failures = m_failures[pairOf(from, to)];
-    if (now - failures.lastAt > RememberedFor) {
+    auto &failures = m_failures[domainPair(from, to)];
+    if (now - failures.lastAt > FailureRetention) {
         failures.targets.clear();
     }
     failures.lastAt = now;
     auto &targets = failures.targets;
     const bool known = std::find(targets.begin(), targets.end(), target) != targets.end();
-    if (!known && targets.size() < EnoughTargets) {
+    if (!known && targets.size() < MinFailedTargets) {
         targets.push_back(target);
     }
 }
 
-void DomainLinks::reached(const std::string &from, const std::string &to)
+void DomainLinks::noteSuccess(const std::string &from, const std::string &to)
 {
-    m_failures.erase(pairOf(from, to));
+    m_failures.erase(domainPair(from, to));
 }
 
-bool DomainLinks::parted(const std::string &from, const std::string &to, core::Time now) const
+bool DomainLinks::isDown(const std::string &from, const std::string &to, core::Time now) const
 {
-    const auto found = m_failures.find(pairOf(from, to));
-    return found != m_failures.end() && found->second.targets.size() >= EnoughTargets
-        && now - found->second.lastAt < TriedAgainAfter;
+    const auto found = m_failures.find(domainPair(from, to));
+    return found != m_failures.end() && found->second.targets.size() >= MinFailedTargets
+        && now - found->second.lastAt < RetryDelay;
 }
 
 } // namespace spurlug::relay
--- a/src/relay/evacuations.cpp
+++ b/src/relay/evacuations.cpp
@@ -17,62 +17,63 @@
 namespace
 {
 
-void note(RelayContext &context, const std::string &domain, bool evacuated, const Evacuations &told,
-          std::string_view from)
+void logChange(RelayContext &context, const std::string &domain, bool evacuated, const Evacuations &reported,
+               std::string_view from)
 {
-    context.metrics.count(metrics::Counter::EvacuationsHeard);
-    core::log(core::LogLevel::Info, evacuated ? "domain_evacuated" : "domain_taken_back",
-              {{"domain", domain}, {"era", told.position.era}, {"revision", told.position.revision}, {"from", from}});
+    context.metrics.count(metrics::Counter::EvacuationChanges);
+    core::log(
+        core::LogLevel::Info, evacuated ? "domain_evacuated" : "domain_taken_back",
+        {{"domain", domain}, {"era", reported.position.era}, {"revision", reported.position.revision}, {"from", from}});
 }
 
 /// Treats the targets of a failure domain as warming up when its evacuation ends: they may have become slow shortly
 /// before, and their entries may report that only later.
-void takeForCold(RelayContext &context, const std::string &domain, core::Time now)
+void markWarmingUp(RelayContext &context, const std::string &domain, core::Time now)
 {
     for (const auto &[id, target] : context.targets.all()) {
-        const auto *service = context.table ? context.table->service(target->entry.service) : nullptr;
+        const auto *service = context.table ? context.table->serviceNamed(target->entry.service) : nullptr;
         if (target->entry.failureDomain == domain && service != nullptr) {
-            noteCold(context, *target, service->coldStart, "evacuation ended", now);
+            noteWarmUp(context, *target, service->warmUpTime, "evacuation ended", now);
         }
     }
 }
 
 } // namespace
 
-void takeEvacuations(RelayContext &context, const Evacuations &told, std::string_view from, core::Time now)
+void applyEvacuations(RelayContext &context, const Evacuations &reported, std::string_view from, core::Time now)
 {
     auto &known = context.evacuations;
-    if (told.position <= known.position) {
+    if (reported.position <= known.position) {
         return;
     }
-    for (const auto &domain : told.domains) {
+    for (const auto &domain : reported.domains) {
         if (!known.domains.contains(domain)) {
-            note(context, domain, true, told, from);
+            logChange(context, domain, true, reported, from);
         }
     }
     for (const auto &domain : known.domains) {
-        if (!told.domains.contains(domain)) {
-            note(context, domain, false, told, from);
-            takeForCold(context, domain, now);
+        if (!reported.domains.contains(domain)) {
+            logChange(context, domain, false, reported, from);
+            markWarmingUp(context, domain, now);
         }
     }
-    if (known.domains != told.domains) {
-        context.targets.evacuate(told.domains);
+    if (known.domains != reported.domains) {
+        context.targets.setEvacuatedDomains(reported.domains);
     }
-    known = told;
+    known = reported;
 }
 
-void takeRestoredEvacuations(RelayContext &context, Evacuations told, core::Time now)
+void applyRestoredEvacuations(RelayContext &context, Evacuations restored, core::Time now)
 {
-    told.domains.insert(context.evacuations.domains.begin(), context.evacuations.domains.end());
-    --told.position.revision;
-    takeEvacuations(context, told, "directory", now);
+    restored.domains.insert(context.evacuations.domains.begin(), context.evacuations.domains.end());
+    --restored.position.revision;
+    applyEvacuations(context, restored, "directory", now);
 }
 
 bool evacuationsKnown(const RelayContext &context) noexcept
 {
-    const bool asked = context.settings.bounds.evacuate > absl::ZeroDuration();
-    return !asked || context.evacuations.position.known();
+    const bool enabled = context.settings.bounds.evacuate > absl::ZeroDuration();
+    return !enabled || context.evacuations.position.isKnown();
 }
 
 } // namespace spurlug::relay
--- a/src/relay/event_splitter.cpp
+++ b/src/relay/event_splitter.cpp
@@ -33,7 +33,7 @@
     }
 }
 
-std::optional<std::int64_t> readId(const std::string &event)
+std::optional<std::int64_t> eventId(const std::string &event)
 {
     constexpr std::string_view Field = "id:";
     for (const auto line : absl::StrSplit(event, '\n')) {
@@ -42,14 +42,14 @@
         }
         const auto text = absl::StripAsciiWhitespace(line.substr(Field.size()));
         std::int64_t id = 0;
-        return core::readNumber({text.data(), text.size()}, id) ? std::optional(id) : std::nullopt;
+        return core::parseInteger({text.data(), text.size()}, id) ? std::optional(id) : std::nullopt;
     }
     return std::nullopt;
 }
 
 } // namespace
 
-void EventSplitter::feed(std::string_view bytes)
+void EventSplitter::append(std::string_view bytes)
 {
     m_buffer.append(bytes);
 }
@@ -62,17 +62,17 @@
     }
     StreamEvent event;
     event.bytes = m_buffer.substr(0, length);
-    event.id = readId(event.bytes);
+    event.id = eventId(event.bytes);
     m_buffer.erase(0, length);
     return event;
 }
 
-bool EventSplitter::inTheMiddle() const noexcept
+bool EventSplitter::hasPartialEvent() const noexcept
 {
     return !m_buffer.empty();
 }
 
-std::size_t EventSplitter::waiting() const noexcept
+std::size_t EventSplitter::bufferedBytes() const noexcept
 {
     return m_buffer.size();
 }
--- a/src/relay/fleet_rate.cpp
+++ b/src/relay/fleet_rate.cpp
@@ -18,77 +18,79 @@
 
 /// Fractions of the rate that each kind of sender uses in any span: three concurrent schedulers and all daemons that
 /// decide without one stay within 1.35 times the rate, while the operator allows slightly more than 1.5 times.
-constexpr double SchedulerPart = 0.4;
-constexpr double AlonePart = 0.15;
-constexpr double EverybodyPart = 0.7; ///< Doubles if each daemon of a domain knows only half of them.
-constexpr auto LearningSpan = absl::Seconds(3); ///< A daemon hears all others within this time after its start.
+constexpr double SchedulerShare = 0.4;
+constexpr double UnscheduledShare = 0.15;
+constexpr double AnyDaemonShare = 0.7; ///< Doubles if each daemon of a domain knows only half of them.
+constexpr auto LearningTime = absl::Seconds(3); ///< A daemon hears all others within this time after its start.
 
 /// This daemon's equal share of what all daemons send; 0 if it does not know how many daemons there are.
-double equalShare(const FleetKnowledge &fleet) noexcept
+double equalShare(const FleetView &fleet) noexcept
 {
-    if (!fleet.hasOthers) {
+    if (!fleet.hasPeers) {
         return 1;
     }
-    if (!fleet.hearsOthers || fleet.life < LearningSpan) {
+    if (!fleet.hearsPeers || fleet.uptime < LearningTime) {
         return 0;
     }
-    const auto domains = std::max<std::size_t>(fleet.domains, 1);
-    return 1 / static_cast<double>(domains * std::max<std::size_t>(fleet.largest, 1));
+    const auto domains = std::max<std::size_t>(fleet.domainCount, 1);
+    return 1 / static_cast<double>(domains * std::max<std::size_t>(fleet.domainSize, 1));
 }
 
 } // namespace
 
 void RecentSends::add(core::Time now)
 {
-    while (!m_sends.empty() && m_sends.front() <= now - core::Duration(Remembered)) {
+    while (!m_sends.empty() && m_sends.front() <= now - core::Duration(Retention)) {
         m_sends.pop_front();
     }
     m_sends.push_back(now);
 }
 
-std::int64_t RecentSends::within(core::Duration span, core::Time now) const
+std::int64_t RecentSends::countWithin(core::Duration span, core::Time now) const
 {
     const auto first = std::upper_bound(m_sends.begin(), m_sends.end(), now - span);
     return std::distance(first, m_sends.end());
 }
 
-RateShare::RateShare(RateGiver giver, const FleetKnowledge &fleet, std::string_view vm, std::uint32_t target)
-    : m_giver(giver)
-    , m_share(equalShare(fleet))
+LocalRateShare::LocalRateShare(SenderRole role, const FleetView &fleet, std::string_view vm, std::uint32_t target)
+    : m_role(role)
+    , m_daemonShare(equalShare(fleet))
     , m_phase(std::ldexp(static_cast<double>(core::fastHash(vm, target)), -64))
 { }
 
-double RateShare::turnRate(const FleetRate &rate) const
+double LocalRateShare::permitRate(const FleetRate &rate) const
 {
-    // A span covers the permits issued within it and those issued up to `TurnLife` before it.
-    const auto seen = m_giver == RateGiver::Alone ? AlonePart : EverybodyPart;
-    return rate.perSecond * m_share * seen * absl::FDivDuration(rate.span, rate.span + core::Duration(TurnLife));
+    // A span covers the permits issued within it and those issued up to `PermitLifetime` before it.
+    const auto roleShare = m_role == SenderRole::Unscheduled ? UnscheduledShare : AnyDaemonShare;
+    return rate.perSecond * m_daemonShare * roleShare
+        * absl::FDivDuration(rate.span, rate.span + core::Duration(PermitLifetime));
 }
 
-double RateShare::turnsBy(double turnRate, core::Time at) const
+double LocalRateShare::permitsUntil(double permitRate, core::Time at) const
 {
-    return absl::ToDoubleSeconds(at - absl::UnixEpoch()) * turnRate + m_phase;
+    return absl::ToDoubleSeconds(at - absl::UnixEpoch()) * permitRate + m_phase;
 }
 
-bool RateShare::takesOne(const FleetRate &rate, const RecentSends &sends, core::Time now) const
+bool LocalRateShare::allowsRequest(const FleetRate &rate, const RecentSends &sends, core::Time now) const
 {
-    if (m_giver == RateGiver::Scheduler) {
-        const auto most = std::floor(rate.perSecond * absl::ToDoubleSeconds(rate.span) * SchedulerPart);
-        return static_cast<double>(sends.within(rate.span, now)) < std::max(most, 1.0);
+    if (m_role == SenderRole::Scheduler) {
+        const auto maxSends = std::floor(rate.perSecond * absl::ToDoubleSeconds(rate.span) * SchedulerShare);
+        return static_cast<double>(sends.countWithin(rate.span, now)) < std::max(maxSends, 1.0);
     }
-    const auto turns = turnRate(rate);
-    const auto begun = std::floor(turnsBy(turns, now)) - std::floor(turnsBy(turns, now - core::Duration(TurnLife)));
-    return static_cast<double>(sends.within(TurnLife, now)) < begun;
+    const auto permitsPerSecond = permitRate(rate);
+    const auto issued = std::floor(permitsUntil(permitsPerSecond, now))
+        - std::floor(permitsUntil(permitsPerSecond, now - core::Duration(PermitLifetime)));
+    return static_cast<double>(sends.countWithin(PermitLifetime, now)) < issued;
 }
 
-core::Time RateShare::nextTurn(const FleetRate &rate, core::Time now) const
+core::Time LocalRateShare::nextPermitAt(const FleetRate &rate, core::Time now) const
 {
-    const auto turns = turnRate(rate);
-    if (turns <= 0) {
+    const auto permitsPerSecond = permitRate(rate);
+    if (permitsPerSecond <= 0) {
         return absl::InfiniteFuture();
     }
-    const auto by = turnsBy(turns, now);
-    return now + absl::Seconds((std::floor(by) + 1 - by) / turns);
+    const auto issued = permitsUntil(permitsPerSecond, now);
+    return now + absl::Seconds((std::floor(issued) + 1 - issued) / permitsPerSecond);
 }
 
 } // namespace spurlug::relay
--- a/src/relay/peer_state.cpp
+++ b/src/relay/peer_state.cpp
@@ -17,14 +17,14 @@
 namespace
 {
 
-constexpr std::int64_t Unknown = -1; // Encodes an infinite age, ms.
+constexpr std::int64_t UnknownAge = -1; // Encodes an infinite age, ms.
 
-std::int64_t ageMs(core::Duration age)
+std::int64_t encodeAge(core::Duration age)
 {
-    return age == absl::InfiniteDuration() ? Unknown : core::toMs(age);
+    return age == absl::InfiniteDuration() ? UnknownAge : core::toMs(age);
 }
 
-core::Duration ageFrom(std::int64_t ms)
+core::Duration decodeAge(std::int64_t ms)
 {
     return ms < 0 ? absl::InfiniteDuration() : core::fromMs(ms);
 }
@@ -37,10 +37,10 @@
         : m_out(out)
     { }
 
-    [[nodiscard]] std::uint32_t numberOf(const std::string &name)
+    [[nodiscard]] std::uint32_t indexOf(const std::string &name)
     {
-        const auto next = static_cast<std::uint32_t>(m_numbers.size());
-        const auto [found, added] = m_numbers.try_emplace(name, next);
+        const auto next = static_cast<std::uint32_t>(m_indexes.size());
+        const auto [found, added] = m_indexes.try_emplace(name, next);
         if (added) {
             m_out.add_names(name);
         }
@@ -49,7 +49,7 @@
 
 private:
     wire::PeerState &m_out;
-    std::unordered_map<std::string, std::uint32_t> m_numbers;
+    std::unordered_map<std::string, std::uint32_t> m_indexes;
 };
 
 void writeChange(const TargetChange &change, NameTable &names, wire::TargetNews &out)
@@ -57,25 +57,25 @@
     const auto &entry = change.entry;
     out.set_id(entry.id);
     out.set_start_ms(static_cast<std::uint64_t>(entry.startMs));
-    out.set_gone(change.gone);
+    out.set_gone(change.removed);
     out.set_fault(change.fault);
-    if (change.gone || !change.fault.empty()) {
+    if (change.removed || !change.fault.empty()) {
         return;
     }
     out.set_address(entry.address.text());
-    out.set_service(names.numberOf(entry.service));
-    out.set_failure_domain(names.numberOf(entry.failureDomain));
+    out.set_service(names.indexOf(entry.service));
+    out.set_failure_domain(names.indexOf(entry.failureDomain));
     out.set_slots(static_cast<std::uint32_t>(entry.slots));
     out.set_draining(entry.draining);
-    out.set_cold_ms(static_cast<std::uint32_t>(core::toMs(entry.cold)));
+    out.set_cold_ms(static_cast<std::uint32_t>(core::toMs(entry.remainingWarmUp)));
 }
 
-const std::string &nameAt(const wire::PeerState &in, std::uint32_t number)
+const std::string &nameAt(const wire::PeerState &in, std::uint32_t index)
 {
-    if (number >= static_cast<std::uint32_t>(in.names_size())) {
+    if (index >= static_cast<std::uint32_t>(in.names_size())) {
         throw core::InvalidDocument("peer state: name number out of range");
     }
-    return in.names(static_cast<int>(number));
+    return in.names(static_cast<int>(index));
 }
 
 TargetChange readChange(const wire::TargetNews &news, const wire::PeerState &in)
@@ -84,9 +84,9 @@
     auto &entry = change.entry;
     entry.id = news.id();
     entry.startMs = static_cast<std::int64_t>(news.start_ms());
-    change.gone = news.gone();
+    change.removed = news.gone();
     change.fault = news.fault();
-    if (change.gone || !change.fault.empty()) {
+    if (change.removed || !change.fault.empty()) {
         return change;
     }
     entry.service = nameAt(in, news.service());
@@ -94,53 +94,53 @@
     entry.address = core::parseAddress(news.address());
     entry.slots = static_cast<int>(std::max<std::uint32_t>(news.slots(), 1));
     entry.draining = news.draining();
-    entry.cold = core::fromMs(news.cold_ms());
+    entry.remainingWarmUp = core::fromMs(news.cold_ms());
     return change;
 }
 
 } // namespace
 
-control::ProofAnswer proofAnswer(const RelayContext &context, std::uint64_t number, core::Time regainedAt,
-                                 core::Time now)
+control::FreshnessReply makeFreshnessReply(const RelayContext &context, std::uint64_t queryNumber,
+                                           core::Time recoveredAt, core::Time now)
 {
-    control::ProofAnswer answer;
-    answer.vm = context.settings.vm;
-    answer.number = number;
+    control::FreshnessReply reply;
+    reply.vm = context.settings.vm;
+    reply.number = queryNumber;
     if (context.table) {
-        answer.version = context.table->version;
-        answer.proofAge = context.configurationProof.age(answer.version, now);
+        reply.version = context.table->version;
+        reply.proofAge = context.configurationFreshness.age(reply.version, now);
     }
-    answer.contactAge = now - context.directoryHeardAt();
-    answer.targetsPosition = context.targetLog.newest();
-    answer.targetsAge = now - context.targetsKnownAt;
-    answer.regainedAge = now - regainedAt;
-    answer.evacuations = context.evacuations;
-    return answer;
+    reply.directoryContactAge = now - context.directoryAnsweredAt();
+    reply.targetsPosition = context.targetLog.newest();
+    reply.targetsAge = now - context.targetsConfirmedAt;
+    reply.directoryRecoveryAge = now - recoveredAt;
+    reply.evacuations = context.evacuations;
+    return reply;
 }
 
-PeerState peerState(const RelayContext &context, std::int64_t askersVersion, const DirectoryPosition &askersPosition,
-                    core::Time now)
+PeerState makePeerState(const RelayContext &context, std::int64_t requesterVersion,
+                        const DirectoryPosition &requesterPosition, core::Time now)
 {
     PeerState state;
     if (context.table) {
         state.version = context.table->version;
-        state.proofAge = context.configurationProof.age(state.version, now);
-        state.document = state.version > askersVersion ? context.document : std::string();
+        state.proofAge = context.configurationFreshness.age(state.version, now);
+        state.document = state.version > requesterVersion ? context.document : std::string();
     }
-    state.targetsAge = now - context.targetsKnownAt;
+    state.targetsAge = now - context.targetsConfirmedAt;
     state.targetsPosition = context.targetsPosition;
-    if (auto changes = context.targetLog.since(askersPosition)) {
-        state.wholeList = false;
+    if (auto changes = context.targetLog.since(requesterPosition)) {
+        state.isFullList = false;
         state.targets = std::move(*changes);
         return state;
     }
     for (const auto &[id, target] : context.targets.all()) {
-        // A target with `dropAt` set is gone from the directory: forwarding it would add it again elsewhere.
-        if (target->dropAt == absl::InfiniteFuture()) {
+        // A target with `servesUntil` set is gone from the directory: forwarding it would add it again elsewhere.
+        if (target->servesUntil == absl::InfiniteFuture()) {
             auto entry = target->entry;
-            entry.cold = std::max(target->coldStart.until() - now, absl::ZeroDuration());
-            entry.draining = target->leaving(); // From any source: the requester may not know of it otherwise.
-            state.targets.push_back({std::move(entry), false, target->fault});
+            entry.remainingWarmUp = std::max(target->warmUp.endsAt() - now, absl::ZeroDuration());
+            entry.draining = target->isDraining(); // From any source: the requester may not know of it otherwise.
+            state.targets.push_back({std::move(entry), false, target->entryError});
         }
     }
     return state;
@@ -150,12 +150,12 @@
 {
     wire::PeerState out;
     out.set_version(static_cast<std::uint64_t>(state.version));
-    out.set_proof_ms(ageMs(state.proofAge));
+    out.set_proof_ms(encodeAge(state.proofAge));
     out.set_document(state.document);
-    out.set_targets_ms(ageMs(state.targetsAge));
+    out.set_targets_ms(encodeAge(state.targetsAge));
     out.set_targets_era(static_cast<std::uint64_t>(state.targetsPosition.era));
     out.set_targets_revision(static_cast<std::uint64_t>(state.targetsPosition.revision));
-    out.set_whole_list(state.wholeList);
+    out.set_whole_list(state.isFullList);
     NameTable names(out);
     for (const auto &change : state.targets) {
         writeChange(change, names, *out.add_targets());
@@ -171,12 +171,12 @@
     }
     PeerState state;
     state.version = static_cast<std::int64_t>(in.version());
-    state.proofAge = ageFrom(in.proof_ms());
+    state.proofAge = decodeAge(in.proof_ms());
     state.document = in.document();
-    state.targetsAge = ageFrom(in.targets_ms());
+    state.targetsAge = decodeAge(in.targets_ms());
     state.targetsPosition
         = {static_cast<std::int64_t>(in.targets_era()), static_cast<std::int64_t>(in.targets_revision())};
-    state.wholeList = in.whole_list();
+    state.isFullList = in.whole_list();
     for (const auto &news : in.targets()) {
         state.targets.push_back(readChange(news, in));
     }
--- a/src/relay/peer_link.cpp
+++ b/src/relay/peer_transport.cpp
@@ -3,7 +3,7 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "spurlug/relay/peer_link.h"
+#include "spurlug/relay/peer_transport.h"
 
 #include "spurlug/core/error.h"
 #include "spurlug/core/text.h"
@@ -20,7 +20,7 @@
 using boost::system::error_code;
 using net::asio::ip::udp;
 
-constexpr std::size_t LargestDatagram = 64 << 10;
+constexpr std::size_t MaxDatagramBytes = 64 << 10;
 
 core::Address addressOf(const udp::endpoint &endpoint)
 {
@@ -29,10 +29,11 @@
 
 } // namespace
 
-PeerLink::PeerLink(RelayContext &context)
+PeerTransport::PeerTransport(RelayContext &context)
     : m_context(context)
     , m_socket(context.loop)
-    , m_fleet(context, [this](const core::Address &to, const std::string &datagram) { sendHeartbeat(to, datagram); })
+    , m_membership(context,
+                   [this](const core::Address &to, const std::string &datagram) { sendHeartbeat(to, datagram); })
 {
     const auto &address = context.settings.peerAddress;
     try {
@@ -45,41 +46,41 @@
     }
 }
 
-void PeerLink::onMessage(TakeMessage take)
+void PeerTransport::onMessage(MessageHandler handler)
 {
-    m_takeMessage = std::move(take);
+    m_messageHandler = std::move(handler);
 }
 
-void PeerLink::onNewPeer(std::function<void(const core::Address &)> tell)
+void PeerTransport::onNewPeer(std::function<void(const core::Address &)> callback)
 {
-    m_fleet.onNewPeer(std::move(tell));
+    m_membership.onNewPeer(std::move(callback));
 }
 
-net::Task<> PeerLink::sendHeartbeats()
+net::Task<> PeerTransport::sendHeartbeats()
 {
-    constexpr double LeastJitter = 0.9;
-    constexpr double MostJitter = 1.1;
+    constexpr double MinJitter = 0.9;
+    constexpr double MaxJitter = 1.1;
     for (;;) {
         const auto now = core::now();
-        m_fleet.sendRound(now);
-        const auto jitter = std::uniform_real_distribution<double>(LeastJitter, MostJitter)(m_context.random);
-        co_await net::sleepFor(m_fleet.interval(now) * jitter);
+        m_membership.sendRound(now);
+        const auto jitter = std::uniform_real_distribution<double>(MinJitter, MaxJitter)(m_context.random);
+        co_await net::sleepFor(m_membership.interval(now) * jitter);
     }
 }
 
-void PeerLink::sendHeartbeat(const core::Address &to, const std::string &datagram)
+void PeerTransport::sendHeartbeat(const core::Address &to, const std::string &datagram)
 {
     m_context.metrics.count(metrics::Counter::HeartbeatsSent);
     m_context.metrics.count(metrics::Counter::HeartbeatBytesSent, static_cast<std::int64_t>(datagram.size()));
     sendTo(to, datagram);
 }
 
-void PeerLink::announce(core::Time now)
+void PeerTransport::announceState(core::Time now)
 {
-    m_fleet.announce(now);
+    m_membership.announceState(now);
 }
 
-void PeerLink::sendTo(const core::Address &peer, const std::string &datagram)
+void PeerTransport::sendTo(const core::Address &peer, const std::string &datagram)
 {
     error_code error; // Ignored: any datagram may be lost, and the next one replaces it.
     const udp::endpoint endpoint(net::asio::ip::make_address(peer.host, error), peer.port);
@@ -88,9 +89,9 @@
     }
 }
 
-net::Task<> PeerLink::receive()
+net::Task<> PeerTransport::receiveDatagrams()
 {
-    std::string buffer(LargestDatagram, '\0');
+    std::string buffer(MaxDatagramBytes, '\0');
     for (;;) {
         udp::endpoint sender;
         auto [error, bytes] = co_await m_socket.async_receive_from(net::asio::buffer(buffer), sender, net::Awaited);
@@ -98,16 +99,16 @@
             co_return;
         }
         if (!error) { // An error reports that an earlier datagram reached a closed port.
-            take(buffer.substr(0, bytes), addressOf(sender), core::now());
+            handleDatagram(buffer.substr(0, bytes), addressOf(sender), core::now());
         }
     }
 }
 
-void PeerLink::take(const std::string &datagram, const core::Address &from, core::Time now)
+void PeerTransport::handleDatagram(const std::string &datagram, const core::Address &from, core::Time now)
 {
     if (auto message = control::readMessage(datagram)) {
-        if (m_takeMessage) {
-            m_takeMessage(std::move(*message), from);
+        if (m_messageHandler) {
+            m_messageHandler(std::move(*message), from);
         }
         return;
     }
@@ -118,7 +119,7 @@
         m_context.metrics.count(metrics::Counter::HeartbeatsRejected);
         return;
     }
-    m_fleet.take(*heartbeat, now);
+    m_membership.handleHeartbeat(*heartbeat, now);
 }
 
 } // namespace spurlug::relay
--- a/src/relay/rate_limit.cpp
+++ b/src/relay/rate_limit.cpp
@@ -14,22 +14,22 @@
 namespace
 {
 
-constexpr auto Span = absl::Seconds(4); ///< Defined by the operator: the limit holds in any span of this length.
-constexpr double LeastPerSecond = 0.25;
+constexpr auto LimitSpan = absl::Seconds(4); ///< Defined by the operator: the limit holds in any span of this length.
+constexpr double MinPerSecond = 0.25;
 
 } // namespace
 
 FleetRate RateLimit::rate() const noexcept
 {
-    return {std::max(m_perSecond.value_or(0), LeastPerSecond), Span};
+    return {std::max(m_perSecond.value_or(0), MinPerSecond), LimitSpan};
 }
 
-bool RateLimit::take(std::optional<double> perSecond, core::Time saidAt) noexcept
+bool RateLimit::update(std::optional<double> perSecond, core::Time announcedAt) noexcept
 {
-    if (saidAt < m_saidAt) {
+    if (announcedAt < m_announcedAt) {
         return false;
     }
-    m_saidAt = saidAt;
+    m_announcedAt = announcedAt;
     return std::exchange(m_perSecond, perSecond) != perSecond;
 }
 
--- a/src/relay/request_quarantine.cpp
+++ b/src/relay/request_quarantine.cpp
@@ -18,7 +18,7 @@
 
 /// Only few trials are allowed in the whole fleet, so one daemon makes them: the first holder of the scheduler role. If
 /// two daemons briefly disagree about who that is, one more target may crash.
-bool takesTrials(const RelayContext &context)
+bool sendsTrials(const RelayContext &context)
 {
     const auto holders = context.roster.holders(control::Role::Scheduler, 1);
     return !holders.empty() && holders.front().vm == context.settings.vm;
@@ -29,56 +29,56 @@
 std::optional<Refusal> RequestProgress::refuseQuarantined(core::Time now)
 {
     auto &crashes = m_context.crashes;
-    if (m_isTrial || !crashes.quarantined(m_digest)) {
+    if (m_isTrial || !crashes.isQuarantined(m_digest)) {
         return std::nullopt;
     }
-    m_isTrial = m_attempts == 0 && takesTrials(m_context) && crashes.takeTrial(m_digest, now);
+    m_isTrial = m_attempts == 0 && sendsTrials(m_context) && crashes.tryStartTrial(m_digest, now);
     if (!m_isTrial) {
         return refuse(core::Reason::CrashesTargets, now);
     }
     m_context.metrics.count(metrics::Counter::QuarantineTrials);
     core::log(core::LogLevel::Warning, "quarantine_trial",
-              {{"request", m_facts.id}, {"digest", core::hexText(m_digest)}, {"ends", crashes.ends(m_digest)}});
+              {{"request", m_facts.id}, {"digest", core::toHex(m_digest)}, {"ends", crashes.crashCount(m_digest)}});
     return std::nullopt;
 }
 
-void RequestProgress::targetEnded(const core::Ref<Target> &target, core::Time now)
+void RequestProgress::recordTargetCrash(const core::Ref<Target> &target, core::Time now)
 {
     auto &crashes = m_context.crashes;
-    const bool before = crashes.quarantined(m_digest);
-    const bool counts = crashes.targetEnded(m_digest, target->hash, now);
-    m_context.metrics.count(metrics::Counter::TargetsEndedUnderWork);
+    const bool wasQuarantined = crashes.isQuarantined(m_digest);
+    const bool counts = crashes.noteCrash(m_digest, target->hash, now);
+    m_context.metrics.count(metrics::Counter::TargetCrashesUnderWork);
     core::log(core::LogLevel::Info, "target_ended_under_work",
               {{"request", m_facts.id},
-               {"digest", core::hexText(m_digest)},
+               {"digest", core::toHex(m_digest)},
                {"target", target->entry.id},
                {"afterMs", core::toMs(now - m_sentAt)},
                {"counts", counts},
-               {"ends", crashes.ends(m_digest)}});
-    if (!before && crashes.quarantined(m_digest)) {
+               {"ends", crashes.crashCount(m_digest)}});
+    if (!wasQuarantined && crashes.isQuarantined(m_digest)) {
         m_context.metrics.count(metrics::Counter::WorkQuarantined);
         core::log(core::LogLevel::Warning, "work_quarantined",
-                  {{"digest", core::hexText(m_digest)}, {"ends", crashes.ends(m_digest)}, {"from", "own request"}});
+                  {{"digest", core::toHex(m_digest)}, {"ends", crashes.crashCount(m_digest)}, {"from", "own request"}});
     }
     if (m_context.crashExchange != nullptr) {
-        m_context.crashExchange->tellChanges(now);
+        m_context.crashExchange->publishChanges(now);
     }
 }
 
-void RequestProgress::noteSurvived(core::Time now)
+void RequestProgress::recordSuccess(core::Time now)
 {
     auto &crashes = m_context.crashes;
-    const bool before = crashes.quarantined(m_digest);
-    if (!crashes.survived(m_digest, now)) {
+    const bool wasQuarantined = crashes.isQuarantined(m_digest);
+    if (!crashes.noteSuccess(m_digest, now)) {
         return;
     }
-    if (before) {
+    if (wasQuarantined) {
         m_context.metrics.count(metrics::Counter::QuarantinesLifted);
         core::log(core::LogLevel::Warning, "quarantine_lifted",
-                  {{"digest", core::hexText(m_digest)}, {"ends", crashes.ends(m_digest)}, {"from", "own request"}});
+                  {{"digest", core::toHex(m_digest)}, {"ends", crashes.crashCount(m_digest)}, {"from", "own request"}});
     }
     if (m_context.crashExchange != nullptr) {
-        m_context.crashExchange->tellChanges(now);
+        m_context.crashExchange->publishChanges(now);
     }
 }
 
--- a/src/relay/reservation.cpp
+++ b/src/relay/reservation.cpp
@@ -18,28 +18,29 @@
 {
 
 constexpr int Granted = core::http_status::Ok;
-constexpr double RenewShare = 0.3; // Share of the hold time between renewals: two may be lost before it expires.
-constexpr int ReleaseTries = 3;
-constexpr auto OrderTimeout = absl::Milliseconds(400); // An engine answers these requests at once or not at all.
+constexpr double RenewalIntervalShare
+    = 0.3; // Share of the hold time between renewals: two may be lost before it expires.
+constexpr int MaxReleaseAttempts = 3;
+constexpr auto EngineTimeout = absl::Milliseconds(400); // An engine answers these requests at once or not at all.
 
 } // namespace
 
 Reservation::Reservation(net::Loop &loop, core::Address engine, std::string id, net::Request reserve,
-                         net::Request release, core::Duration hold, Hear hear)
+                         net::Request release, core::Duration holdTime, AnswerHandler onAnswer)
     : m_loop(loop)
     , m_engine(std::move(engine))
     , m_id(std::move(id))
     , m_reserve(std::move(reserve))
     , m_release(std::move(release))
-    , m_hold(hold)
-    , m_hear(std::move(hear))
+    , m_holdTime(holdTime)
+    , m_onAnswer(std::move(onAnswer))
 { }
 
 net::Task<std::optional<net::Response>> Reservation::order(net::Request order, core::Time until, std::string &problem)
 {
     auto answer = co_await net::exchange(m_loop, m_engine, std::move(order), until, problem);
     if (answer) {
-        m_hear(answer->head);
+        m_onAnswer(answer->head);
     }
     co_return answer;
 }
@@ -47,7 +48,7 @@
 net::Task<bool> Reservation::acquire(core::Time deadline)
 {
     std::string problem;
-    const auto until = std::min(deadline, core::now() + OrderTimeout);
+    const auto until = std::min(deadline, core::now() + EngineTimeout);
     const auto answer = co_await order(m_reserve, until, problem);
     const auto status = answer ? answer->head.status : 0;
     if (status != Granted) {
@@ -60,7 +61,8 @@
         co_return false;
     }
     net::asio::co_spawn(
-        m_loop, [](core::Ref<Reservation> self) -> net::Task<> { co_await self->keep(); }(core::Ref<Reservation>(this)),
+        m_loop,
+        [](core::Ref<Reservation> self) -> net::Task<> { co_await self->renew(); }(core::Ref<Reservation>(this)),
         net::asio::detached);
     co_return true;
 }
@@ -73,19 +75,19 @@
     m_released = true;
     net::asio::co_spawn(
         m_loop,
-        [](core::Ref<Reservation> self) -> net::Task<> { co_await self->giveBack(); }(core::Ref<Reservation>(this)),
+        [](core::Ref<Reservation> self) -> net::Task<> { co_await self->sendRelease(); }(core::Ref<Reservation>(this)),
         net::asio::detached);
 }
 
-net::Task<> Reservation::keep()
+net::Task<> Reservation::renew()
 {
     for (;;) {
-        co_await net::sleepFor(m_hold * RenewShare);
+        co_await net::sleepFor(m_holdTime * RenewalIntervalShare);
         if (m_released) {
             co_return;
         }
         std::string problem;
-        const auto answer = co_await order(m_reserve, core::now() + OrderTimeout, problem);
+        const auto answer = co_await order(m_reserve, core::now() + EngineTimeout, problem);
         if (!answer || answer->head.status != Granted) {
             core::log(core::LogLevel::Warning, "reservation_not_renewed",
                       {{"reservation", m_id},
@@ -96,11 +98,11 @@
     }
 }
 
-net::Task<> Reservation::giveBack()
+net::Task<> Reservation::sendRelease()
 {
-    for (int i = 0; i < ReleaseTries; ++i) {
+    for (int i = 0; i < MaxReleaseAttempts; ++i) {
         std::string problem;
-        const auto answer = co_await order(m_release, core::now() + OrderTimeout, problem);
+        const auto answer = co_await order(m_release, core::now() + EngineTimeout, problem);
         if (answer) {
             co_return;
         }
--- a/src/relay/simple_server.cpp
+++ b/src/relay/simple_server.cpp
@@ -17,7 +17,7 @@
 {
 
 constexpr auto WriteTimeout = absl::Seconds(2);
-constexpr std::size_t LargestBody = 64 << 10; // Bytes. Requests to these services are small.
+constexpr std::size_t MaxBodyBytes = 64 << 10; // Bytes. Requests to these services are small.
 
 } // namespace
 
@@ -39,7 +39,7 @@
 {
     net::ServerConnection connection(m_loop, std::move(socket));
     net::ReadLimits limits;
-    limits.bodyBytes = LargestBody;
+    limits.maxBodyBytes = MaxBodyBytes;
     for (;;) {
         const auto result = co_await connection.read(limits);
         if (!result.request) {
@@ -60,15 +60,15 @@
     return m_listener.address();
 }
 
-std::optional<std::int64_t> queryNumber(std::string_view query, std::string_view name)
+std::optional<std::int64_t> queryInteger(std::string_view query, std::string_view name)
 {
     while (!query.empty()) {
-        const auto part = query.substr(0, query.find('&'));
-        query.remove_prefix(std::min(part.size() + 1, query.size()));
+        const auto parameter = query.substr(0, query.find('&'));
+        query.remove_prefix(std::min(parameter.size() + 1, query.size()));
         std::int64_t value = 0;
-        const auto split = part.find('=');
-        const bool isMeant = split != std::string_view::npos && part.substr(0, split) == name;
-        if (isMeant && core::readNumber(part.substr(split + 1), value)) {
+        const auto separator = parameter.find('=');
+        const bool nameMatches = separator != std::string_view::npos && parameter.substr(0, separator) == name;
+        if (nameMatches && core::parseInteger(parameter.substr(separator + 1), value)) {
             return value;
         }
     }
--- a/src/relay/target_log.cpp
+++ b/src/relay/target_change_log.cpp
@@ -3,31 +3,31 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "spurlug/relay/target_log.h"
+#include "spurlug/relay/target_change_log.h"
 
 namespace spurlug::relay
 {
 
-void TargetLog::restart(const DirectoryPosition &position)
+void TargetChangeLog::reset(const DirectoryPosition &position)
 {
     m_batches.clear();
-    m_reachesBackTo = position;
+    m_startPosition = position;
     m_newest = position;
 }
 
-void TargetLog::add(const DirectoryPosition &position, std::vector<TargetChange> changes)
+void TargetChangeLog::add(const DirectoryPosition &position, std::vector<TargetChange> changes)
 {
     m_batches.emplace_back(position, std::move(changes));
     m_newest = position;
-    if (m_batches.size() > MostBatches) {
-        m_reachesBackTo = m_batches.front().first;
+    if (m_batches.size() > MaxBatches) {
+        m_startPosition = m_batches.front().first;
         m_batches.pop_front();
     }
 }
 
-std::optional<std::vector<TargetChange>> TargetLog::since(const DirectoryPosition &position) const
+std::optional<std::vector<TargetChange>> TargetChangeLog::since(const DirectoryPosition &position) const
 {
-    if (!position.known() || position < m_reachesBackTo) { // The log covers one directory era only.
+    if (!position.isKnown() || position < m_startPosition) { // The log covers one directory era only.
         return std::nullopt;
     }
     std::vector<TargetChange> changes;
--- a/src/relay/target_choice.cpp
+++ b/src/relay/target_choice.cpp
@@ -15,224 +15,226 @@
 
 /// Fraction of the TTFT objective for which a request that tolerates only short gaps waits for a free target before it
 /// may queue at one.
-constexpr double WaitShare = 0.22;
+constexpr double QueueingWaitShare = 0.22;
 /// Share of a service's targets up to which peers' unreachability reports are believed. If more are reported, the
 /// network is assumed to be at fault.
-constexpr double MostAvoidedShare = 0.34;
+constexpr double MaxAvoidedShare = 0.34;
 
 /// Whether targets that are warming up are eligible.
-enum class ColdTargets
+enum class WarmingUpTargets
 {
-    PassedOver,
-    AsTheyBear, ///< Those whose rate allows one more request now.
+    Excluded,
+    RateLimited, ///< Those whose rate allows one more request now.
 };
 
-RateGiver giverOf(const RelayContext &context, const TargetQuery &query)
+SenderRole senderRole(const RelayContext &context, const TargetQuery &query)
 {
-    if (query.forFleet) {
-        return RateGiver::Scheduler;
+    if (query.forScheduler) {
+        return SenderRole::Scheduler;
     }
-    const auto *service = context.table ? context.table->service(query.service) : nullptr;
-    return service != nullptr && service->engine ? RateGiver::Alone : RateGiver::Everybody;
+    const auto *service = context.table ? context.table->serviceNamed(query.service) : nullptr;
+    return service != nullptr && service->engine ? SenderRole::Unscheduled : SenderRole::AnyDaemon;
 }
 
 /// Builds the placement candidates of one request.
-class CandidateList
+class CandidateBuilder
 {
 public:
-    CandidateList(const RelayContext &context, const TargetQuery &query, const TargetSet::Targets &targets,
-                  ColdTargets coldTargets, core::Time now)
+    CandidateBuilder(const RelayContext &context, const TargetQuery &query, const TargetSet::Targets &targets,
+                     WarmingUpTargets warmingUpTargets, core::Time now)
         : m_context(context)
         , m_query(query)
         , m_targets(targets)
-        , m_coldTargets(coldTargets)
-        , m_from(query.from.empty() ? context.settings.failureDomain : query.from)
+        , m_warmingUpTargets(warmingUpTargets)
+        , m_senderDomain(query.senderDomain.empty() ? context.settings.failureDomain : query.senderDomain)
         , m_now(now)
     {
-        const auto reported = std::count_if(targets.begin(), targets.end(),
-                                            [now](const auto &target) { return now < target->reportedUntil; });
-        m_heedsReports = static_cast<double>(reported) <= static_cast<double>(targets.size()) * MostAvoidedShare;
+        const auto reportedCount = std::count_if(targets.begin(), targets.end(), [now](const auto &target) {
+            return now < target->reportedUnreachableUntil;
+        });
+        m_trustsReports = static_cast<double>(reportedCount) <= static_cast<double>(targets.size()) * MaxAvoidedShare;
         for (const auto &target : targets) {
             m_loads.push_back(target->load(now));
         }
     }
 
-    [[nodiscard]] std::vector<Candidate> make() const
+    [[nodiscard]] std::vector<Candidate> build() const
     {
         const auto slots = m_targets.empty() ? 1 : m_targets.front()->entry.slots;
-        const auto tightOnly = enginesForTight(m_loads, slots, m_context.settings.placement);
-        const bool someWell = anyUsable(false);
-        std::size_t kept = 0;
-        std::vector<Candidate> all;
+        const auto reservedEngines = enginesForShortGaps(m_loads, slots, m_context.settings.placement);
+        const bool anyHealthy = anyUsable(false);
+        std::size_t reservedCount = 0;
+        std::vector<Candidate> candidates;
         for (std::size_t i = 0; i < m_targets.size(); ++i) {
             const auto &target = *m_targets[i];
             Candidate candidate;
             candidate.load = m_loads[i];
             candidate.slots = target.entry.slots;
-            candidate.atHome = target.entry.failureDomain == m_context.settings.failureDomain;
-            candidate.mayAnswer = usable(i, !someWell);
-            candidate.tightOnly = candidate.mayAnswer && kept < tightOnly;
-            kept += candidate.tightOnly ? 1 : 0;
+            candidate.isLocalDomain = target.entry.failureDomain == m_context.settings.failureDomain;
+            candidate.mayAnswer = isUsable(i, !anyHealthy);
+            candidate.reservedForShortGaps = candidate.mayAnswer && reservedCount < reservedEngines;
+            reservedCount += candidate.reservedForShortGaps ? 1 : 0;
             candidate.mayHelp = mayHelp(target);
-            all.push_back(candidate);
+            candidates.push_back(candidate);
         }
-        return all;
+        return candidates;
     }
 
 private:
-    [[nodiscard]] bool avoided(const Target &target) const
+    [[nodiscard]] bool isReportedUnreachable(const Target &target) const
     {
-        return m_heedsReports && m_now < target.reportedUntil;
+        return m_trustsReports && m_now < target.reportedUnreachableUntil;
     }
 
     /// Whether the target is warming up and its service sets a request rate for that state.
-    [[nodiscard]] bool cold(const Target &target) const
+    [[nodiscard]] bool isWarmingUp(const Target &target) const
     {
-        return target.coldStart.lasts(m_now) && coldPerSecond() > 0;
+        return target.warmUp.isActive(m_now) && warmUpPerSecond() > 0;
     }
 
-    [[nodiscard]] double coldPerSecond() const
+    [[nodiscard]] double warmUpPerSecond() const
     {
-        const auto *service = m_context.table ? m_context.table->service(m_query.service) : nullptr;
-        return service != nullptr ? service->coldPerSecond : 0;
+        const auto *service = m_context.table ? m_context.table->serviceNamed(m_query.service) : nullptr;
+        return service != nullptr ? service->warmUpRequestsPerSecond : 0;
     }
 
-    [[nodiscard]] bool takesOneMore(const Target &target) const
+    [[nodiscard]] bool rateAllowsRequest(const Target &target) const
     {
-        const bool isCold = cold(target);
-        if (isCold && m_coldTargets == ColdTargets::PassedOver) {
+        const bool warmingUp = isWarmingUp(target);
+        if (warmingUp && m_warmingUpTargets == WarmingUpTargets::Excluded) {
             return false;
         }
         const auto &limit = target.rateLimit;
-        if (!isCold && !limit.perSecond()) {
+        if (!warmingUp && !limit.perSecond()) {
             return true;
         }
-        const RateShare share(giverOf(m_context, m_query), m_context.fleetKnowledge(m_now), m_context.settings.vm,
-                              target.hash);
-        const auto keeps = [&](const FleetRate &rate) { return share.takesOne(rate, target.recentSends, m_now); };
-        return (!isCold || keeps(ColdStart::rate(coldPerSecond()))) && (!limit.perSecond() || keeps(limit.rate()));
+        const LocalRateShare share(senderRole(m_context, m_query), m_context.fleetView(m_now), m_context.settings.vm,
+                                   target.hash);
+        const auto allows = [&](const FleetRate &rate) { return share.allowsRequest(rate, target.recentSends, m_now); };
+        return (!warmingUp || allows(WarmUp::rate(warmUpPerSecond()))) && (!limit.perSecond() || allows(limit.rate()));
     }
 
-    [[nodiscard]] bool cutOff(const Target &target) const
+    [[nodiscard]] bool isPartitioned(const Target &target) const
     {
-        return m_context.links.parted(m_from, target.entry.failureDomain, m_now);
+        return m_context.links.isDown(m_senderDomain, target.entry.failureDomain, m_now);
     }
 
     [[nodiscard]] bool mayHelp(const Target &target) const
     {
         const auto &health = target.health;
-        return !avoided(target) && !cold(target) && !target.rateLimit.perSecond() && !cutOff(target)
-            && !health.ejected(m_now) && !health.onProbation() && !target.helpPause.lasts(m_now);
+        return !isReportedUnreachable(target) && !isWarmingUp(target) && !target.rateLimit.perSecond()
+            && !isPartitioned(target) && !health.isEjected(m_now) && !health.isOnProbation()
+            && !target.helpBackoff.isActive(m_now);
     }
 
-    [[nodiscard]] bool anyUsable(bool evenEjected) const
+    [[nodiscard]] bool anyUsable(bool includeEjected) const
     {
         for (std::size_t i = 0; i < m_targets.size(); ++i) {
-            if (usable(i, evenEjected)) {
+            if (isUsable(i, includeEjected)) {
                 return true;
             }
         }
         return false;
     }
 
-    [[nodiscard]] bool usable(std::size_t index, bool evenEjected) const
+    [[nodiscard]] bool isUsable(std::size_t index, bool includeEjected) const
     {
         const auto &target = *m_targets[index];
-        const bool wanted = !m_query.onlyAt || contains(*m_query.onlyAt, target.hash);
-        if (!wanted || contains(m_query.notAt, target.hash) || target.fullPause.lasts(m_now)) {
+        const bool isAllowed = !m_query.allowedTargets || contains(*m_query.allowedTargets, target.hash);
+        if (!isAllowed || contains(m_query.excludedTargets, target.hash) || target.refusalBackoff.isActive(m_now)) {
             return false;
         }
-        if (!takesOneMore(target)) {
+        if (!rateAllowsRequest(target)) {
             return false;
         }
-        if (evenEjected) {
+        if (includeEjected) {
             return true;
         }
-        if (cutOff(target)) {
+        if (isPartitioned(target)) {
             return false;
         }
         // A daemon that also failed to reach the target probes it itself: if every daemon waited for the others, it
         // would never return to service.
-        if (avoided(target) && !target.health.onProbation()) {
+        if (isReportedUnreachable(target) && !target.health.isOnProbation()) {
             return false;
         }
-        const bool waitsForProof = target.health.onProbation() && m_loads[index].requests > 0;
-        return !target.health.ejected(m_now) && !waitsForProof;
+        const bool probeInProgress = target.health.isOnProbation() && m_loads[index].requests > 0;
+        return !target.health.isEjected(m_now) && !probeInProgress;
     }
 
     const RelayContext &m_context;
     const TargetQuery &m_query;
     const TargetSet::Targets &m_targets;
-    const ColdTargets m_coldTargets;
-    const std::string m_from; ///< Failure domain of the requesting daemon.
+    const WarmingUpTargets m_warmingUpTargets;
+    const std::string m_senderDomain; ///< Failure domain of the requesting daemon.
     const core::Time m_now;
-    bool m_heedsReports = true; ///< False if so many targets are reported unreachable that the reports are ignored.
+    bool m_trustsReports = true; ///< False if so many targets are reported unreachable that the reports are ignored.
     std::vector<Outstanding> m_loads;
 };
 
-TargetSet::Targets targetsFor(const RelayContext &context, const TargetQuery &query, core::Time now)
+TargetSet::Targets eligibleTargets(const RelayContext &context, const TargetQuery &query, core::Time now)
 {
-    auto targets = context.targets.listed(query.service, now);
-    std::erase_if(targets, [&query](const auto &target) { return contains(query.unwanted, target->hash); });
-    if (!query.atHome) {
+    auto targets = context.targets.availableTargets(query.service, now);
+    std::erase_if(targets, [&query](const auto &target) { return contains(query.avoidedTargets, target->hash); });
+    if (!query.localDomainOnly) {
         return targets;
     }
-    TargetSet::Targets home;
+    TargetSet::Targets localTargets;
     for (const auto &target : targets) {
         if (target->entry.failureDomain == context.settings.failureDomain) {
-            home.push_back(target);
+            localTargets.push_back(target);
         }
     }
-    return home.empty() ? targets : home;
+    return localTargets.empty() ? targets : localTargets;
 }
 
 /// Chooses among candidates such that the answering engine can reach its helpers.
-class Chooser
+class TargetChooser
 {
 public:
-    Chooser(RelayContext &context, const TargetQuery &query, const TargetSet::Targets &targets, core::Time now)
+    TargetChooser(RelayContext &context, const TargetQuery &query, const TargetSet::Targets &targets, core::Time now)
         : m_context(context)
         , m_query(query)
         , m_targets(targets)
         , m_now(now)
-        , m_pick(context.random())
+        , m_randomValue(context.random())
     { }
 
     [[nodiscard]] std::optional<Placement> choose() const
     {
-        auto placement = chooseAmong(ColdTargets::PassedOver);
-        const bool someCold = std::any_of(m_targets.begin(), m_targets.end(),
-                                          [this](const auto &target) { return target->coldStart.lasts(m_now); });
-        if (!placement && someCold) {
-            placement = chooseAmong(ColdTargets::AsTheyBear);
+        auto placement = chooseAmong(WarmingUpTargets::Excluded);
+        const bool anyWarmingUp = std::any_of(m_targets.begin(), m_targets.end(),
+                                              [this](const auto &target) { return target->warmUp.isActive(m_now); });
+        if (!placement && anyWarmingUp) {
+            placement = chooseAmong(WarmingUpTargets::RateLimited);
         }
         return placement;
     }
 
 private:
-    [[nodiscard]] std::optional<Placement> chooseAmong(ColdTargets coldTargets) const
+    [[nodiscard]] std::optional<Placement> chooseAmong(WarmingUpTargets warmingUpTargets) const
     {
-        auto candidates = CandidateList(m_context, m_query, m_targets, coldTargets, m_now).make();
+        auto candidates = CandidateBuilder(m_context, m_query, m_targets, warmingUpTargets, m_now).build();
         auto placement = place(candidates);
-        if (!placement || allMayHelp(*placement)) {
+        if (!placement || helpersReachable(*placement)) {
             return placement;
         }
-        const auto &answersIn = domainOf(placement->target);
+        const auto &targetDomain = domainOf(placement->target);
         for (std::size_t i = 0; i < candidates.size(); ++i) {
-            candidates[i].mayAnswer = candidates[i].mayAnswer && domainOf(i) == answersIn;
-            candidates[i].mayHelp = candidates[i].mayHelp && helps(answersIn, domainOf(i));
+            candidates[i].mayAnswer = candidates[i].mayAnswer && domainOf(i) == targetDomain;
+            candidates[i].mayHelp = candidates[i].mayHelp && mayHelpAcross(targetDomain, domainOf(i));
         }
         return place(candidates);
     }
 
     [[nodiscard]] std::optional<Placement> place(const std::vector<Candidate> &candidates) const
     {
-        const auto *spec = m_context.table ? m_context.table->service(m_query.service) : nullptr;
+        const auto *spec = m_context.table ? m_context.table->serviceNamed(m_query.service) : nullptr;
         const auto &rule = m_context.settings.placement;
         if (m_query.prompt && spec != nullptr && spec->engine) {
-            return placePrompt(*spec->engine, *m_query.prompt, candidates, rule, m_pick);
+            return placePrompt(*spec->engine, *m_query.prompt, candidates, rule, m_randomValue);
         }
-        return placePlain(candidates, rule, m_pick);
+        return placePlain(candidates, rule, m_randomValue);
     }
 
     [[nodiscard]] const std::string &domainOf(std::size_t candidate) const
@@ -241,36 +243,37 @@
     }
 
     /// Whether engines of one failure domain may help one of another.
-    [[nodiscard]] bool helps(const std::string &answersIn, const std::string &helpsIn) const
+    [[nodiscard]] bool mayHelpAcross(const std::string &targetDomain, const std::string &helperDomain) const
     {
-        return answersIn == helpsIn || !(m_query.nearHelpers || m_context.links.parted(answersIn, helpsIn, m_now));
+        return targetDomain == helperDomain
+            || !(m_query.localHelpersOnly || m_context.links.isDown(targetDomain, helperDomain, m_now));
     }
 
-    [[nodiscard]] bool allMayHelp(const Placement &placement) const
+    [[nodiscard]] bool helpersReachable(const Placement &placement) const
     {
-        const auto &answersIn = domainOf(placement.target);
+        const auto &targetDomain = domainOf(placement.target);
         return std::all_of(placement.helpers.begin(), placement.helpers.end(),
-                           [&](std::size_t helper) { return helps(answersIn, domainOf(helper)); });
+                           [&](std::size_t helper) { return mayHelpAcross(targetDomain, domainOf(helper)); });
     }
 
     const RelayContext &m_context;
     const TargetQuery &m_query;
     const TargetSet::Targets &m_targets;
     const core::Time m_now;
-    const std::uint64_t m_pick;
+    const std::uint64_t m_randomValue;
 };
 
 } // namespace
 
-bool mayQueueAfter(core::Duration waited, core::Duration aim) noexcept
+bool mayQueueAtEngine(core::Duration waited, core::Duration ttftObjective) noexcept
 {
-    return waited >= aim * WaitShare;
+    return waited >= ttftObjective * QueueingWaitShare;
 }
 
 std::optional<ChosenTargets> chooseTargets(RelayContext &context, const TargetQuery &query, core::Time now)
 {
-    const auto targets = targetsFor(context, query, now);
-    const Chooser chooser(context, query, targets, now);
+    const auto targets = eligibleTargets(context, query, now);
+    const TargetChooser chooser(context, query, targets, now);
     const auto placement = chooser.choose();
     if (!placement) {
         return std::nullopt;
@@ -281,31 +284,31 @@
     for (const auto helper : placement->helpers) {
         chosen.helpers.push_back(targets[helper]);
     }
-    for (const auto &holding : placement->holdings) {
-        chosen.holdingTokens.push_back(holding.tokens);
+    for (const auto &holding : placement->reservations) {
+        chosen.reservedTokens.push_back(holding.tokens);
     }
-    chosen.expected = placement->expected;
-    chosen.partRead = placement->partRead;
+    chosen.expectedTtft = placement->expectedTtft;
+    chosen.partPrefillTime = placement->partPrefillTime;
     return chosen;
 }
 
-std::vector<std::pair<core::Ref<Target>, Outstanding>> workOf(const ChosenTargets &chosen, const PromptFacts &prompt)
+std::vector<std::pair<core::Ref<Target>, Outstanding>> addedWork(const ChosenTargets &chosen, const PromptInfo &prompt)
 {
-    const auto readMicros = absl::ToInt64Microseconds(chosen.partRead);
+    const auto prefillMicros = absl::ToInt64Microseconds(chosen.partPrefillTime);
     std::vector<std::pair<core::Ref<Target>, Outstanding>> works;
-    std::int64_t held = 0;
+    std::int64_t reserved = 0;
     for (std::size_t i = 0; i < chosen.helpers.size(); ++i) {
         Outstanding work;
-        work.parts = 1;
-        work.partMicros = readMicros;
-        work.memoryTokens = i < chosen.holdingTokens.size() ? chosen.holdingTokens[i] : 0;
-        held += work.memoryTokens;
+        work.prefillParts = 1;
+        work.partPrefillMicros = prefillMicros;
+        work.memoryTokens = i < chosen.reservedTokens.size() ? chosen.reservedTokens[i] : 0;
+        reserved += work.memoryTokens;
         works.emplace_back(chosen.helpers[i], work);
     }
     Outstanding work;
     work.requests = 1;
-    work.readMicros = readMicros;
-    work.memoryTokens = std::max<std::int64_t>(prompt.memoryTokens() - held, 0);
+    work.prefillMicros = prefillMicros;
+    work.memoryTokens = std::max<std::int64_t>(prompt.maxMemoryTokens() - reserved, 0);
     works.emplace_back(chosen.target, work);
     return works;
 }
--- a/src/relay/target_health.cpp
+++ b/src/relay/target_health.cpp
@@ -13,46 +13,47 @@
 namespace
 {
 
-constexpr double SuccessWeight = 0.13; // Equal to EjectionRule::weight, so that successes and failures count alike.
-constexpr int MostDoublings = 10;
+constexpr double SuccessWeight = 0.13; // Equal to EjectionPolicy::weight, so that successes and failures count alike.
+constexpr int MaxDoublings = 10;
 
 } // namespace
 
-void TargetHealth::succeeded(core::Time now) noexcept
+void TargetHealth::noteSuccess(core::Time now) noexcept
 {
-    m_share *= 1 - SuccessWeight;
-    m_inARow = 0;
-    if (!ejected(now)) {
-        m_ejections = 0;
+    m_failureShare *= 1 - SuccessWeight;
+    m_consecutiveFailures = 0;
+    if (!isEjected(now)) {
+        m_consecutiveEjections = 0;
     }
 }
 
-void TargetHealth::failed(TargetFault fault, const EjectionRule &rule, core::Time now) noexcept
+void TargetHealth::noteFailure(TargetFault fault, const EjectionPolicy &policy, core::Time now) noexcept
 {
     if (fault == TargetFault::Busy) {
         return; // A full target is not a failing one.
     }
-    m_share += (1 - m_share) * rule.weight;
-    ++m_inARow;
-    const bool unreachable = fault == TargetFault::Unreachable || fault == TargetFault::Silent;
-    if (!ejected(now)) {
+    m_failureShare += (1 - m_failureShare) * policy.newestWeight;
+    ++m_consecutiveFailures;
+    const bool unreachable = fault == TargetFault::Unreachable || fault == TargetFault::Timeout;
+    if (!isEjected(now)) {
         m_unreachable = unreachable;
     }
-    if (unreachable || m_inARow >= rule.inARow || m_share > rule.errorShare) {
-        eject(rule, now);
+    if (unreachable || m_consecutiveFailures >= policy.maxConsecutiveFailures
+        || m_failureShare > policy.maxFailureShare) {
+        eject(policy, now);
     }
 }
 
-void TargetHealth::eject(const EjectionRule &rule, core::Time now) noexcept
+void TargetHealth::eject(const EjectionPolicy &policy, core::Time now) noexcept
 {
-    if (ejected(now)) {
+    if (isEjected(now)) {
         return;
     }
-    const auto doublings = std::min(m_ejections, MostDoublings);
-    m_ejectedUntil = now + std::min(rule.first * (1 << doublings), rule.longest);
-    ++m_ejections;
-    m_share = 0;
-    m_inARow = rule.inARow - 1; // One more failure after its return ejects it again.
+    const auto doublings = std::min(m_consecutiveEjections, MaxDoublings);
+    m_ejectedUntil = now + std::min(policy.initialDuration * (1 << doublings), policy.maxDuration);
+    ++m_consecutiveEjections;
+    m_failureShare = 0;
+    m_consecutiveFailures = policy.maxConsecutiveFailures - 1; // One more failure after its return ejects it again.
 }
 
 } // namespace spurlug::relay
--- a/src/relay/target_life.cpp
+++ b/src/relay/target_incarnation.cpp
@@ -3,7 +3,7 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "spurlug/relay/target_life.h"
+#include "spurlug/relay/target_incarnation.h"
 
 #include "spurlug/core/hash.h"
 #include "spurlug/targets/target_table.h"
@@ -11,12 +11,12 @@
 namespace spurlug::relay
 {
 
-std::uint32_t lifeHash(const TargetLife &life) noexcept
+std::uint32_t incarnationHash(const TargetIncarnation &incarnation) noexcept
 {
-    if (life.startMs == 0) {
-        return targets::targetHash(life.id);
+    if (incarnation.startMs == 0) {
+        return targets::targetHash(incarnation.id);
     }
-    return static_cast<std::uint32_t>(core::fastHash(life.id, static_cast<std::uint64_t>(life.startMs)));
+    return static_cast<std::uint32_t>(core::fastHash(incarnation.id, static_cast<std::uint64_t>(incarnation.startMs)));
 }
 
 } // namespace spurlug::relay
--- a/src/relay/target_notice.cpp
+++ b/src/relay/target_notice.cpp
@@ -6,7 +6,7 @@
 #include "spurlug/relay/target_notice.h"
 
 #include "spurlug/core/log.h"
-#include "spurlug/relay/verdict.h"
+#include "spurlug/relay/answer_result.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -17,119 +17,119 @@
 namespace
 {
 
-constexpr auto LiftedToldFor = absl::Seconds(10); ///< A few heartbeat rounds at their longest interval.
+constexpr auto LiftedLimitReportTime = absl::Seconds(10); ///< A few heartbeat rounds at their longest interval.
 
 } // namespace
 
-void takeTargetNotice(RelayContext &context, Target &target, const AnswerFacts &answer, std::string_view request,
-                      core::Time now)
+void applyTargetNotice(RelayContext &context, Target &target, const AnswerInfo &answer, std::string_view request,
+                       core::Time now)
 {
     if (answer.wrongTarget) {
-        endLife(context, target, "another incarnation answers");
+        endIncarnation(context, target, "another incarnation answers");
         return;
     }
-    if (answer.cold) {
-        noteCold(context, target, *answer.cold, "answer", now);
+    if (answer.remainingWarmUp) {
+        noteWarmUp(context, target, *answer.remainingWarmUp, "answer", now);
     }
-    if (answer.coldUnreadable) {
-        context.metrics.count(metrics::Counter::ColdUnreadable);
+    if (answer.warmUpInvalid) {
+        context.metrics.count(metrics::Counter::WarmUpTimeMalformed);
         core::log(core::LogLevel::Warning, "cold_unreadable", {{"target", target.entry.id}, {"request", request}});
     }
-    if (answer.leaving) {
-        context.metrics.count(metrics::Counter::LeavingTold);
-        if (context.targets.noteLeaving(target)) {
+    if (answer.draining) {
+        context.metrics.count(metrics::Counter::LeavingAnnounced);
+        if (context.targets.noteDraining(target)) {
             core::log(core::LogLevel::Info, "target_leaves",
                       {{"target", target.entry.id}, {"from", "answer"}, {"request", request}});
         }
     }
     if (asksForCooldown(answer)) {
-        context.metrics.count(metrics::Counter::CooldownsAsked);
+        context.metrics.count(metrics::Counter::CooldownsRequested);
         context.targets.noteCooldown(target, *answer.retryAfter, now);
         core::log(core::LogLevel::Info, "target_cooldown",
                   {{"target", target.entry.id},
                    {"request", request},
                    {"status", answer.status},
                    {"askedMs", core::toMs(*answer.retryAfter)},
-                   {"cooldownMs", core::toMs(target.cooldown().until() - now)}});
+                   {"cooldownMs", core::toMs(target.cooldown().endsAt() - now)}});
     }
     if (answer.rateLimit) {
-        context.metrics.count(metrics::Counter::RateLimitsTold);
+        context.metrics.count(metrics::Counter::RateLimitsReported);
         noteRateLimit(target, answer.rateLimit, now, "answer");
     }
-    if (answer.rateLimitUnreadable) {
-        context.metrics.count(metrics::Counter::RateLimitUnreadable);
+    if (answer.rateLimitInvalid) {
+        context.metrics.count(metrics::Counter::RateLimitMalformed);
         core::log(core::LogLevel::Warning, "rate_limit_unreadable",
                   {{"target", target.entry.id}, {"request", request}});
     }
-    if (answer.retryAfterUnreadable) {
-        context.metrics.count(metrics::Counter::RetryAfterUnreadable);
+    if (answer.retryAfterInvalid) {
+        context.metrics.count(metrics::Counter::RetryAfterMalformed);
         core::log(core::LogLevel::Warning, "retry_after_unreadable",
                   {{"target", target.entry.id}, {"request", request}});
     }
 }
 
-void noteRateLimit(Target &target, std::optional<double> perSecond, core::Time saidAt, std::string_view from)
+void noteRateLimit(Target &target, std::optional<double> perSecond, core::Time announcedAt, std::string_view from)
 {
-    if (!target.rateLimit.take(perSecond, saidAt)) {
+    if (!target.rateLimit.update(perSecond, announcedAt)) {
         return;
     }
     core::log(core::LogLevel::Info, perSecond ? "target_limited" : "target_limit_lifted",
               {{"target", target.entry.id}, {"perSecond", perSecond.value_or(0)}, {"from", from}});
 }
 
-void noteUnlimited(Target &target, const AnswerFacts &answer, core::Time requestSentAt, core::Time now)
+void noteLimitLifted(Target &target, const AnswerInfo &answer, core::Time requestSentAt, core::Time now)
 {
-    const bool names = answer.rateLimit || answer.rateLimitUnreadable || answer.wrongTarget;
-    if (!names && target.rateLimit.perSecond() && requestSentAt > target.rateLimit.saidAt()) {
+    const bool announcesLimit = answer.rateLimit || answer.rateLimitInvalid || answer.wrongTarget;
+    if (!announcesLimit && target.rateLimit.perSecond() && requestSentAt > target.rateLimit.announcedAt()) {
         noteRateLimit(target, std::nullopt, now, "answer");
     }
 }
 
-void takeRateNews(RelayContext &context, const std::vector<targets::RateNews> &news, std::string_view peer,
-                  core::Time now)
+void applyRateReports(RelayContext &context, const std::vector<targets::RateReport> &reports, std::string_view peer,
+                      core::Time now)
 {
-    for (const auto &rate : news) {
-        if (const auto target = context.targets.withHash(rate.target)) {
-            noteRateLimit(*target, rate.perSecond, now - rate.age, peer);
+    for (const auto &report : reports) {
+        if (const auto target = context.targets.findByHash(report.target)) {
+            noteRateLimit(*target, report.perSecond, now - report.age, peer);
         }
     }
 }
 
-std::vector<targets::RateNews> rateNews(const RelayContext &context, std::size_t most, core::Time now)
+std::vector<targets::RateReport> rateReports(const RelayContext &context, std::size_t maxCount, core::Time now)
 {
-    std::vector<targets::RateNews> news;
+    std::vector<targets::RateReport> reports;
     for (const auto &[id, target] : context.targets.all()) {
         const auto &limit = target->rateLimit;
-        const auto age = now - limit.saidAt();
-        if (limit.perSecond() || age < core::Duration(LiftedToldFor)) {
-            news.push_back({target->hash, limit.perSecond(), age});
+        const auto age = now - limit.announcedAt();
+        if (limit.perSecond() || age < core::Duration(LiftedLimitReportTime)) {
+            reports.push_back({target->hash, limit.perSecond(), age});
         }
     }
-    std::sort(news.begin(), news.end(), [](const auto &left, const auto &right) { return left.age < right.age; });
-    news.resize(std::min(news.size(), most));
-    return news;
+    std::sort(reports.begin(), reports.end(), [](const auto &left, const auto &right) { return left.age < right.age; });
+    reports.resize(std::min(reports.size(), maxCount));
+    return reports;
 }
 
-void noteCold(RelayContext &context, Target &target, core::Duration span, std::string_view from, core::Time now)
+void noteWarmUp(RelayContext &context, Target &target, core::Duration span, std::string_view from, core::Time now)
 {
     if (span <= absl::ZeroDuration()) {
         return;
     }
-    const bool isNews = !target.coldStart.lasts(now);
-    target.coldStart.note(now + span);
-    if (isNews) {
+    const bool startsNow = !target.warmUp.isActive(now);
+    target.warmUp.extend(now + span);
+    if (startsNow) {
         context.metrics.count(metrics::Counter::ColdStarts);
         core::log(core::LogLevel::Info, "target_cold",
                   {{"target", target.entry.id}, {"forMs", core::toMs(span)}, {"from", from}});
     }
 }
 
-void endLife(RelayContext &context, Target &target, std::string_view proof)
+void endIncarnation(RelayContext &context, Target &target, std::string_view proof)
 {
-    if (!context.targets.end(target)) {
+    if (!context.targets.endIncarnation(target)) {
         return;
     }
-    context.metrics.count(metrics::Counter::LivesOver);
+    context.metrics.count(metrics::Counter::IncarnationsEnded);
     core::log(core::LogLevel::Info, "target_life_over",
               {{"target", target.entry.id},
                {"startMs", target.entry.startMs},
@@ -137,22 +137,23 @@
                {"proof", proof}});
 }
 
-void takeLeavingNews(RelayContext &context, const std::vector<std::uint32_t> &leaving, std::string_view peer)
+void applyDrainingReports(RelayContext &context, const std::vector<std::uint32_t> &drainingHashes,
+                          std::string_view peer)
 {
-    for (const auto &target : context.targets.noteLeaving(leaving)) {
+    for (const auto &target : context.targets.noteDraining(drainingHashes)) {
         core::log(core::LogLevel::Info, "target_leaves",
                   {{"target", target->entry.id}, {"from", "peer"}, {"peer", peer}});
     }
 }
 
-std::vector<std::uint32_t> leavingNews(RelayContext &context, std::size_t most)
+std::vector<std::uint32_t> drainingReports(RelayContext &context, std::size_t maxCount)
 {
-    auto news = context.targets.leavingUnlisted();
-    if (news.size() > most) {
-        std::shuffle(news.begin(), news.end(), context.random);
-        news.resize(most);
+    auto hashes = context.targets.unlistedDraining();
+    if (hashes.size() > maxCount) {
+        std::shuffle(hashes.begin(), hashes.end(), context.random);
+        hashes.resize(maxCount);
     }
-    return news;
+    return hashes;
 }
 
 } // namespace spurlug::relay
--- a/src/relay/target_set.cpp
+++ b/src/relay/target_set.cpp
@@ -19,151 +19,153 @@
 /// make no difference (docs/BENANGJAYA.md). If several engines prefill the prompt, any one of them may cause the delay,
 /// so the share is divided by their number: a part that is stuck at one engine must not keep work away from fifteen
 /// others.
-constexpr double LeastUnread = 0.5;
+constexpr double MinRemainingShare = 0.5;
 /// A peer's report is valid for this long; peers repeat it with each heartbeat while it holds.
-constexpr auto ReportLife = absl::Milliseconds(1200);
+constexpr auto ReportLifetime = absl::Milliseconds(1200);
 /// A daemon that cannot reach more than this share of all targets is assumed to be cut off itself.
-constexpr double MostReportedShare = 0.2;
+constexpr double MaxReportedShare = 0.2;
 
 /// Remaining time, us, of prefill that takes `micros` in total and has a due time, at one of several engines.
-std::int64_t unread(std::int64_t micros, core::Time expected, core::Time now, std::size_t engines)
+std::int64_t remainingPrefill(std::int64_t micros, core::Time dueAt, core::Time now, std::size_t engines)
 {
-    const auto share = LeastUnread / static_cast<double>(engines);
-    const auto least = static_cast<std::int64_t>(static_cast<double>(micros) * share);
-    return std::clamp(absl::ToInt64Microseconds(expected - now), least, micros);
+    const auto share = MinRemainingShare / static_cast<double>(engines);
+    const auto minRemaining = static_cast<std::int64_t>(static_cast<double>(micros) * share);
+    return std::clamp(absl::ToInt64Microseconds(dueAt - now), minRemaining, micros);
 }
 
-constexpr auto FirstHelpPause = absl::Milliseconds(300); ///< A full engine completes its queued prefill in less time.
+constexpr auto InitialHelpBackoff
+    = absl::Milliseconds(300); ///< A full engine completes its queued prefill in less time.
 /// A crashed engine is back after some seconds; only one prompt asks it in each backoff period.
-constexpr auto LongestHelpPause = absl::Milliseconds(1200);
+constexpr auto MaxHelpBackoff = absl::Milliseconds(1200);
 /// A queue outlasts this pause. The pause does not grow: doubling it up to 1.6 s gained 0.013 of the worth where some
 /// targets refuse everything, and never improved results for an overloaded fleet.
-constexpr auto FullPause = absl::Milliseconds(200);
+constexpr auto RequestRefusalBackoff = absl::Milliseconds(200);
 /// The number of consecutive refusals is reset this long after a backoff period ended.
-constexpr auto PauseRemembered = absl::Seconds(4);
+constexpr auto RefusalResetTime = absl::Seconds(4);
 
 } // namespace
 
-void RefusalPause::refused(core::Time now) noexcept
+void RefusalBackoff::noteRefusal(core::Time now) noexcept
 {
-    if (lasts(now)) {
+    if (isActive(now)) {
         return; // Asked before the first refusal was known.
     }
-    m_inARow = now - m_until > PauseRemembered ? 0 : m_inARow;
-    const auto pause = m_first * (1 << m_inARow);
-    m_until = now + std::min(pause, m_longest);
-    m_inARow = pause < m_longest ? m_inARow + 1 : m_inARow;
+    m_consecutiveRefusals = now - m_until > RefusalResetTime ? 0 : m_consecutiveRefusals;
+    const auto delay = m_initialDelay * (1 << m_consecutiveRefusals);
+    m_until = now + std::min(delay, m_maxDelay);
+    m_consecutiveRefusals = delay < m_maxDelay ? m_consecutiveRefusals + 1 : m_consecutiveRefusals;
 }
 
-LifeWatch::LifeWatch(const core::Ref<Target> &target, Tell tell)
-    : m_tell(std::move(tell))
+IncarnationWatch::IncarnationWatch(const core::Ref<Target> &target, Callback callback)
+    : m_callback(std::move(callback))
 {
-    if (target->over()) {
-        m_tell(target);
+    if (target->hasEnded()) {
+        m_callback(target);
         return;
     }
     target->m_watches.push_back(*this);
 }
 
-Share::Share(core::Ref<Target> target, Kind kind, const Outstanding &work, core::Time sentAt, core::Time expected,
-             bool tight, std::size_t engines)
+LocalWork::LocalWork(core::Ref<Target> target, Kind kind, const Outstanding &work, core::Time sentAt, core::Time dueAt,
+                     bool shortGaps, std::size_t engines)
     : m_target(std::move(target))
     , m_kind(kind)
     , m_work(work)
     , m_sentAt(sentAt)
-    , m_expected(expected)
-    , m_tight(tight)
+    , m_dueAt(dueAt)
+    , m_shortGaps(shortGaps)
     , m_engines(engines)
 {
-    m_target->m_shares.push_back(*this);
+    m_target->m_localWorks.push_back(*this);
 }
 
-void Share::promptRead() noexcept
+void LocalWork::notePrefillDone() noexcept
 {
-    m_reading = false;
+    m_prefilling = false;
 }
 
-Outstanding Share::work(core::Time now) const noexcept
+Outstanding LocalWork::work(core::Time now) const noexcept
 {
     auto work = m_work;
-    work.tightRequests = m_tight ? 1 : 0;
-    if (m_reading) {
-        work.readMicros = unread(work.readMicros, m_expected, now, m_engines);
-        work.partMicros = unread(work.partMicros, m_expected, now, m_engines);
+    work.shortGapRequests = m_shortGaps ? 1 : 0;
+    if (m_prefilling) {
+        work.prefillMicros = remainingPrefill(work.prefillMicros, m_dueAt, now, m_engines);
+        work.partPrefillMicros = remainingPrefill(work.partPrefillMicros, m_dueAt, now, m_engines);
         return work;
     }
-    work.readMicros = 0;
-    work.partMicros = 0;
+    work.prefillMicros = 0;
+    work.partPrefillMicros = 0;
     if (m_kind == Kind::Request) {
-        work.writers = 1;
-        work.contextTokens = work.memoryTokens;
+        work.decodingRequests = 1;
+        work.decodingContextTokens = work.memoryTokens;
     } else {
-        work.parts = 0;
+        work.prefillParts = 0;
     }
     return work;
 }
 
-const core::Ref<Target> &Share::target() const noexcept
+const core::Ref<Target> &LocalWork::target() const noexcept
 {
     return m_target;
 }
 
-core::Time Share::sentAt() const noexcept
+core::Time LocalWork::sentAt() const noexcept
 {
     return m_sentAt;
 }
 
-core::Time Share::readingDueAt() const noexcept
+core::Time LocalWork::prefillDueAt() const noexcept
 {
-    return m_reading ? m_expected : absl::InfinitePast();
+    return m_prefilling ? m_dueAt : absl::InfinitePast();
 }
 
-PeerShare::PeerShare(core::Ref<Target> target, const Outstanding &work, core::Time dueAt)
+PeerWork::PeerWork(core::Ref<Target> target, const Outstanding &work, core::Time dueAt)
     : m_target(std::move(target))
     , m_work(work)
     , m_dueAt(dueAt)
 {
-    m_target->m_peerShares.push_back(*this);
+    m_target->m_peerWorks.push_back(*this);
 }
 
-Outstanding PeerShare::work(core::Time now) const noexcept
+Outstanding PeerWork::work(core::Time now) const noexcept
 {
     auto work = m_work;
-    work.readMicros = unread(work.readMicros, m_dueAt, now, 1); // The peer reported the time left at this engine.
-    work.partMicros = unread(work.partMicros, m_dueAt, now, 1);
+    work.prefillMicros
+        = remainingPrefill(work.prefillMicros, m_dueAt, now, 1); // The peer reported the time left at this engine.
+    work.partPrefillMicros = remainingPrefill(work.partPrefillMicros, m_dueAt, now, 1);
     return work;
 }
 
 Target::Target(TargetEntry entry)
     : entry(std::move(entry))
-    , hash(lifeHash(this->entry.life()))
-    , helpPause(FirstHelpPause, LongestHelpPause)
-    , fullPause(FullPause, FullPause)
-    , m_leaving(this->entry.draining)
+    , hash(incarnationHash(this->entry.incarnation()))
+    , helpBackoff(InitialHelpBackoff, MaxHelpBackoff)
+    , refusalBackoff(RequestRefusalBackoff, RequestRefusalBackoff)
+    , m_draining(this->entry.draining)
 { }
 
-Outstanding Target::own(core::Time now) const noexcept
+Outstanding Target::localWork(core::Time now) const noexcept
 {
     Outstanding sum;
-    for (const auto &share : m_shares) {
+    for (const auto &share : m_localWorks) {
         sum += share.work(now);
     }
     return sum;
 }
 
-core::Time Target::ownDueAt() const noexcept
+core::Time Target::localPrefillDueAt() const noexcept
 {
     auto due = absl::InfinitePast();
-    for (const auto &share : m_shares) {
-        due = std::max(due, share.readingDueAt());
+    for (const auto &share : m_localWorks) {
+        due = std::max(due, share.prefillDueAt());
     }
     return due;
 }
 
-Outstanding Target::peers(core::Time now) const noexcept
+Outstanding Target::peerWork(core::Time now) const noexcept
 {
     Outstanding sum;
-    for (const auto &share : m_peerShares) {
+    for (const auto &share : m_peerWorks) {
         sum += share.work(now);
     }
     return sum;
@@ -171,8 +173,8 @@
 
 Outstanding Target::load(core::Time now) const noexcept
 {
-    auto sum = own(now);
-    sum += peers(now);
+    auto sum = localWork(now);
+    sum += peerWork(now);
     return sum;
 }
 
@@ -181,130 +183,132 @@
     return std::find(hashes.begin(), hashes.end(), hash) != hashes.end();
 }
 
-std::optional<core::Reason> unwantedNow(const Target &target, core::Time now) noexcept
+std::optional<core::Reason> reasonToAvoid(const Target &target, core::Time now) noexcept
 {
-    if (!target.serves(now)) {
+    if (!target.isInService(now)) {
         return core::Reason::TargetLeaving;
     }
-    if (target.evacuated()) {
+    if (target.isEvacuated()) {
         return core::Reason::DomainsEvacuated;
     }
-    return target.cooldown().lasts(now) ? std::optional(core::Reason::TargetsCoolingDown) : std::nullopt;
+    return target.cooldown().isActive(now) ? std::optional(core::Reason::TargetsCoolingDown) : std::nullopt;
 }
 
-EntryNews TargetSet::put(const TargetEntry &entry)
+EntryChange TargetSet::put(const TargetEntry &entry)
 {
     auto &target = m_targets[entry.id];
     if (target && entry.startMs < target->entry.startMs) {
-        return EntryNews::Outdated;
+        return EntryChange::Outdated;
     }
     const bool restarted = target && entry.startMs > target->entry.startMs;
     if (!target || restarted) {
         if (restarted) {
-            end(*target);
+            endIncarnation(*target);
             m_byHash.erase(target->hash);
-            std::erase(m_leavingUnlisted, target);
+            std::erase(m_unlistedDraining, target);
         }
         // Attempts in progress keep the earlier incarnation, which can no longer be looked up.
-        target = core::makeCounted<Target>(entry);
-        target->m_evacuated = m_evacuated.contains(entry.failureDomain);
+        target = core::makeRef<Target>(entry);
+        target->m_evacuated = m_evacuatedDomains.contains(entry.failureDomain);
         m_byHash[target->hash] = target;
-        return restarted ? EntryNews::Restarted : EntryNews::Added;
+        return restarted ? EntryChange::Restarted : EntryChange::Added;
     }
     target->entry = entry;
-    target->m_evacuated = m_evacuated.contains(entry.failureDomain);
-    target->m_leaving = target->m_leaving || entry.draining;
-    target->dropAt = absl::InfiniteFuture();
-    target->fault.clear();
-    sortByLeaving(*target);
-    return EntryNews::Updated;
+    target->m_evacuated = m_evacuatedDomains.contains(entry.failureDomain);
+    target->m_draining = target->m_draining || entry.draining;
+    target->servesUntil = absl::InfiniteFuture();
+    target->entryError.clear();
+    updateUnlistedDraining(*target);
+    return EntryChange::Updated;
 }
 
-void TargetSet::sortByLeaving(Target &target)
+void TargetSet::updateUnlistedDraining(Target &target)
 {
-    std::erase_if(m_leavingUnlisted, [&target](const auto &known) { return known == &target; });
-    if (target.m_leaving && !target.entry.draining && target.dropAt == absl::InfiniteFuture()) {
-        m_leavingUnlisted.emplace_back(&target);
+    std::erase_if(m_unlistedDraining, [&target](const auto &known) { return known == &target; });
+    if (target.m_draining && !target.entry.draining && target.servesUntil == absl::InfiniteFuture()) {
+        m_unlistedDraining.emplace_back(&target);
     }
 }
 
-bool TargetSet::end(Target &target)
+bool TargetSet::endIncarnation(Target &target)
 {
-    if (std::exchange(target.m_over, true)) {
+    if (std::exchange(target.m_ended, true)) {
         return false;
     }
-    noteLeaving(target);
+    noteDraining(target);
     const core::Ref<Target> ended(&target);
     while (!target.m_watches.empty()) {
         auto &watch = target.m_watches.front();
         target.m_watches.pop_front();
-        watch.m_tell(ended);
+        watch.m_callback(ended);
     }
     return true;
 }
 
-bool TargetSet::noteLeaving(Target &target)
+bool TargetSet::noteDraining(Target &target)
 {
-    const bool isNews = !std::exchange(target.m_leaving, true);
-    sortByLeaving(target);
-    return isNews;
+    const bool changed = !std::exchange(target.m_draining, true);
+    updateUnlistedDraining(target);
+    return changed;
 }
 
-TargetSet::Targets TargetSet::noteLeaving(const std::vector<std::uint32_t> &hashes)
+TargetSet::Targets TargetSet::noteDraining(const std::vector<std::uint32_t> &hashes)
 {
-    Targets fresh;
+    Targets newlyDraining;
     for (const auto hash : hashes) {
-        const auto target = withHash(hash);
-        if (target && noteLeaving(*target)) {
-            fresh.push_back(target);
+        const auto target = findByHash(hash);
+        if (target && noteDraining(*target)) {
+            newlyDraining.push_back(target);
         }
     }
-    return fresh;
+    return newlyDraining;
 }
 
-void TargetSet::evacuate(const std::set<std::string> &failureDomains)
+void TargetSet::setEvacuatedDomains(const std::set<std::string> &failureDomains)
 {
-    m_evacuated = failureDomains;
+    m_evacuatedDomains = failureDomains;
     for (const auto &[id, target] : m_targets) {
-        target->m_evacuated = m_evacuated.contains(target->entry.failureDomain);
+        target->m_evacuated = m_evacuatedDomains.contains(target->entry.failureDomain);
     }
 }
 
 void TargetSet::noteCooldown(Target &target, core::Duration span, core::Time now)
 {
-    std::erase_if(m_coolingDown, [&](const auto &known) { return !known->cooldown().lasts(now) || known == &target; });
-    target.m_cooldown.ask(span, now);
+    std::erase_if(m_coolingDown,
+                  [&](const auto &known) { return !known->cooldown().isActive(now) || known == &target; });
+    target.m_cooldown.request(span, now);
     m_coolingDown.emplace_back(&target);
 }
 
-void TargetSet::drop(const std::string &id, core::Time dropAt)
+void TargetSet::expire(const std::string &id, core::Time servesUntil)
 {
     const auto found = m_targets.find(id);
     if (found != m_targets.end()) {
-        found->second->dropAt = std::min(found->second->dropAt, dropAt);
-        sortByLeaving(*found->second);
+        found->second->servesUntil = std::min(found->second->servesUntil, servesUntil);
+        updateUnlistedDraining(*found->second);
     }
 }
 
-void TargetSet::withdraw(const std::string &id, const std::string &fault)
+void TargetSet::invalidateEntry(const std::string &id, const std::string &error)
 {
     const auto found = m_targets.find(id);
     if (found != m_targets.end()) {
-        found->second->fault = fault;
+        found->second->entryError = error;
     }
 }
 
-void TargetSet::forgetGone(core::Time now)
+void TargetSet::removeExpired(core::Time now)
 {
-    constexpr auto KeptAfterwards = absl::Seconds(30); // Responses in progress may still refer to them.
+    constexpr auto RetentionAfterExpiry = absl::Seconds(30); // Responses in progress may still refer to them.
     /// An expired entry may be rewritten: an incarnation that announced its shutdown must not come back as a new
     /// target.
-    constexpr auto LeavingKeptAfterwards = absl::Minutes(10);
+    constexpr auto DrainingRetention = absl::Minutes(10);
     std::erase_if(m_targets, [&](const auto &item) {
         const auto &target = item.second;
-        const auto kept = target->leaving() ? core::Duration(LeavingKeptAfterwards) : core::Duration(KeptAfterwards);
-        const bool old = now - kept > target->dropAt;
-        if (old && target->own(now) == Outstanding{}) {
+        const auto retention
+            = target->isDraining() ? core::Duration(DrainingRetention) : core::Duration(RetentionAfterExpiry);
+        const bool expired = now - retention > target->servesUntil;
+        if (expired && target->localWork(now) == Outstanding{}) {
             m_byHash.erase(target->hash);
             return true;
         }
@@ -312,85 +316,85 @@
     });
 }
 
-void TargetSet::peerWork(const std::string &peer, const std::vector<TargetWork> &works, core::Time now)
+void TargetSet::setPeerWork(const std::string &peer, const std::vector<TargetWork> &reportedWork, core::Time now)
 {
-    auto &kept = m_peerWorks[peer];
-    kept.clear();
-    for (const auto &work : works) {
-        if (const auto target = withHash(work.target)) {
-            const auto dueAt = now + absl::Microseconds(work.dueMicros);
-            kept.push_back(std::make_unique<PeerShare>(target, work.work, dueAt));
+    auto &peerWorks = m_workByPeer[peer];
+    peerWorks.clear();
+    for (const auto &work : reportedWork) {
+        if (const auto target = findByHash(work.target)) {
+            const auto dueAt = now + absl::Microseconds(work.prefillDueMicros);
+            peerWorks.push_back(std::make_unique<PeerWork>(target, work.work, dueAt));
         }
     }
 }
 
-void TargetSet::forgetPeer(const std::string &peer)
+void TargetSet::removePeer(const std::string &peer)
 {
-    m_peerWorks.erase(peer);
+    m_workByPeer.erase(peer);
 }
 
-TargetSet::Targets TargetSet::peerReport(const std::vector<std::uint32_t> &unreachable, core::Time now)
+TargetSet::Targets TargetSet::notePeerReport(const std::vector<std::uint32_t> &unreachable, core::Time now)
 {
-    Targets fresh;
-    const auto most = std::max(1.0, static_cast<double>(m_targets.size()) * MostReportedShare);
-    if (static_cast<double>(unreachable.size()) > most) {
-        return fresh;
+    Targets newlyReported;
+    const auto maxReported = std::max(1.0, static_cast<double>(m_targets.size()) * MaxReportedShare);
+    if (static_cast<double>(unreachable.size()) > maxReported) {
+        return newlyReported;
     }
     for (const auto hash : unreachable) {
         const auto found = m_byHash.find(hash);
         if (found == m_byHash.end()) {
             continue;
         }
-        if (found->second->reportedUntil < now) {
-            fresh.push_back(found->second);
+        if (found->second->reportedUnreachableUntil < now) {
+            newlyReported.push_back(found->second);
         }
-        found->second->reportedUntil = now + ReportLife;
+        found->second->reportedUnreachableUntil = now + ReportLifetime;
     }
-    return fresh;
+    return newlyReported;
 }
 
-std::vector<std::uint32_t> TargetSet::unwantedHere(core::Time now) const
+std::vector<std::uint32_t> TargetSet::avoidedTargets(core::Time now) const
 {
-    auto hashes = leavingUnlisted();
+    auto hashes = unlistedDraining();
     for (const auto &target : m_coolingDown) {
-        if (target->cooldown().lasts(now)) {
+        if (target->cooldown().isActive(now)) {
             hashes.push_back(target->hash);
         }
     }
     return hashes;
 }
 
-bool TargetSet::someLimited() const noexcept
+bool TargetSet::anyRateLimited() const noexcept
 {
     return std::any_of(m_targets.begin(), m_targets.end(),
                        [](const auto &item) { return item.second->rateLimit.perSecond().has_value(); });
 }
 
-std::vector<std::uint32_t> TargetSet::leavingUnlisted() const
+std::vector<std::uint32_t> TargetSet::unlistedDraining() const
 {
     std::vector<std::uint32_t> hashes;
-    for (const auto &target : m_leavingUnlisted) {
+    for (const auto &target : m_unlistedDraining) {
         hashes.push_back(target->hash);
     }
     return hashes;
 }
 
-std::vector<std::uint32_t> TargetSet::unreachable(core::Time now) const
+std::vector<std::uint32_t> TargetSet::unreachableTargets(core::Time now) const
 {
     std::vector<std::uint32_t> hashes;
     for (const auto &[hash, target] : m_byHash) {
-        if (target->listed(now) && target->health.unreachable()) {
+        if (target->acceptsNewWork(now) && target->health.isUnreachable()) {
             hashes.push_back(hash);
         }
     }
     return hashes;
 }
 
-TargetSet::Targets TargetSet::listed(const std::string &service, core::Time now) const
+TargetSet::Targets TargetSet::availableTargets(const std::string &service, core::Time now) const
 {
     Targets found;
     for (const auto &[id, target] : m_targets) {
-        if (target->entry.service == service && target->listed(now)) {
+        if (target->entry.service == service && target->acceptsNewWork(now)) {
             found.push_back(target);
         }
     }
@@ -401,16 +405,16 @@
 
 bool TargetSet::allEvacuated(const std::string &service, core::Time now) const
 {
-    bool some = false;
+    bool anyInService = false;
     for (const auto &[id, target] : m_targets) {
-        if (target->entry.service == service && target->serves(now)) {
-            some = true;
-            if (!target->evacuated()) {
+        if (target->entry.service == service && target->isInService(now)) {
+            anyInService = true;
+            if (!target->isEvacuated()) {
                 return false;
             }
         }
     }
-    return some;
+    return anyInService;
 }
 
 core::Ref<Target> TargetSet::find(const std::string &id) const
@@ -419,30 +423,30 @@
     return found == m_targets.end() ? nullptr : found->second;
 }
 
-core::Ref<Target> TargetSet::withHash(std::uint32_t hash) const
+core::Ref<Target> TargetSet::findByHash(std::uint32_t hash) const
 {
     const auto found = m_byHash.find(hash);
     return found == m_byHash.end() ? nullptr : found->second;
 }
 
-core::Ref<Target> TargetSet::at(const core::Address &address, core::Time now) const
+core::Ref<Target> TargetSet::findByAddress(const core::Address &address, core::Time now) const
 {
     for (const auto &[id, target] : m_targets) {
-        if (target->entry.address == address && target->listed(now)) {
+        if (target->entry.address == address && target->acceptsNewWork(now)) {
             return target;
         }
     }
     return nullptr;
 }
 
-std::vector<TargetWork> TargetSet::ownWork(core::Time now) const
+std::vector<TargetWork> TargetSet::localWork(core::Time now) const
 {
     std::vector<TargetWork> works;
     for (const auto &[hash, target] : m_byHash) {
-        const auto own = target->own(now);
-        if (own != Outstanding{}) {
-            const auto due = std::max(target->ownDueAt() - now, absl::ZeroDuration());
-            works.push_back({hash, own, absl::ToInt64Microseconds(due)});
+        const auto work = target->localWork(now);
+        if (work != Outstanding{}) {
+            const auto due = std::max(target->localPrefillDueAt() - now, absl::ZeroDuration());
+            works.push_back({hash, work, absl::ToInt64Microseconds(due)});
         }
     }
     return works;
--- a/src/report/counts.cpp
+++ b/src/report/counts.cpp
@@ -10,7 +10,7 @@
 namespace spurlug::report
 {
 
-std::string countsText(const Counts &counts)
+std::string formatCounts(const Counts &counts)
 {
     std::string text;
     for (const auto &[name, count] : counts) {
--- a/src/report/log_line.cpp
+++ b/src/report/log_line.cpp
@@ -13,7 +13,7 @@
 namespace spurlug::report
 {
 
-std::optional<nlohmann::json> objectIn(std::string_view line)
+std::optional<nlohmann::json> parseLogLine(std::string_view line)
 {
     const auto begin = line.find('{');
     if (begin == std::string_view::npos) {
@@ -23,21 +23,21 @@
     return object.is_object() ? std::optional(std::move(object)) : std::nullopt;
 }
 
-core::Time timeOf(const nlohmann::json &line)
+core::Time lineTime(const nlohmann::json &line)
 {
     core::Time time = absl::InfinitePast();
     std::string error;
-    const auto written = line.value("time", "");
-    return absl::ParseTime(absl::RFC3339_full, written, &time, &error) ? time : absl::InfinitePast();
+    const auto timeText = line.value("time", "");
+    return absl::ParseTime(absl::RFC3339_full, timeText, &time, &error) ? time : absl::InfinitePast();
 }
 
-core::Time collectedAt(std::string_view line, const nlohmann::json &object)
+core::Time collectionTime(std::string_view line, const nlohmann::json &object)
 {
     const auto begin = std::min(line.find_first_not_of(' '), line.size());
     double seconds = 0;
     const auto *end = line.data() + line.size();
-    const bool stamped = std::from_chars(line.data() + begin, end, seconds).ec == std::errc();
-    return stamped ? absl::UnixEpoch() + absl::Seconds(seconds) : timeOf(object);
+    const bool hasTimestamp = std::from_chars(line.data() + begin, end, seconds).ec == std::errc();
+    return hasTimestamp ? absl::UnixEpoch() + absl::Seconds(seconds) : lineTime(object);
 }
 
 } // namespace spurlug::report
--- a/src/report/log_report.cpp
+++ b/src/report/log_report.cpp
@@ -38,7 +38,7 @@
 
 void LogReport::add(std::string_view line)
 {
-    const auto object = objectIn(line);
+    const auto object = parseLogLine(line);
     if (!object || !object->contains("request")) {
         return;
     }
@@ -48,18 +48,18 @@
         request.attempts.push_back(
             {object->value("waitedMs", 0.0), object->value("expectedMs", 0.0), object->value("readMs", 0.0)});
     } else if (event == "attempt_failed") {
-        request.failures.push_back(object->value("reason", ""));
+        request.failedAttemptReasons.push_back(object->value("reason", ""));
     } else if (event == "request_ended") {
-        request.endedAt = timeOf(*object);
+        request.endedAt = lineTime(*object);
         request.route = object->value("route", "");
         request.outcome = object->value("outcome", "");
         request.reason = object->value("reason", "");
         request.status = object->value("status", std::int64_t{0});
-        request.firstMs = object->value("firstMs", -1.0);
+        request.firstEventMs = object->value("firstMs", -1.0);
         request.totalMs = object->value("totalMs", 0.0);
-        request.longestPauseMs = object->value("longestGapMs", 0.0);
-        request.aimMs = object->value("aimMs", 0.0);
-        request.pauseAimMs = object->value("gapAimMs", 0.0);
+        request.longestGapMs = object->value("longestGapMs", 0.0);
+        request.objectiveMs = object->value("aimMs", 0.0);
+        request.gapObjectiveMs = object->value("gapAimMs", 0.0);
     }
 }
 
@@ -71,86 +71,87 @@
     }
 }
 
-void LogReport::count(const Request &request, RouteFigures &figures)
+void LogReport::count(const Request &request, RouteStatistics &figures)
 {
     ++figures.requests;
-    for (const auto &reason : request.failures) {
-        ++figures.resends[reason];
+    for (const auto &reason : request.failedAttemptReasons) {
+        ++figures.attemptFailures[reason];
     }
-    const bool whole = request.outcome == "completed" && request.status < core::http_status::FirstServerError;
+    const bool completed = request.outcome == "completed" && request.status < core::http_status::FirstServerError;
     for (const auto &attempt : request.attempts) {
-        figures.readMs += attempt.readMs;
-        figures.readInVainMs += whole ? 0 : attempt.readMs;
+        figures.prefillMs += attempt.prefillMs;
+        figures.wastedPrefillMs += completed ? 0 : attempt.prefillMs;
     }
-    if (!whole) {
-        ++figures.notWhole;
-        ++figures.ends[request.reason];
+    if (!completed) {
+        ++figures.failed;
+        ++figures.failureReasons[request.reason];
         return;
     }
-    const bool late = request.firstMs > request.aimMs;
-    const bool paused = request.pauseAimMs > 0 && request.longestPauseMs > request.pauseAimMs;
-    ++(late ? figures.lateFirst : paused ? figures.longPause : figures.inTime);
-    figures.pausesMs.push_back(request.longestPauseMs);
+    const bool lateFirst = request.firstEventMs > request.objectiveMs;
+    const bool hasLongGap = request.gapObjectiveMs > 0 && request.longestGapMs > request.gapObjectiveMs;
+    ++(lateFirst ? figures.lateFirstEvent : hasLongGap ? figures.longGap : figures.inTime);
+    figures.longestGapsMs.push_back(request.longestGapMs);
     if (request.attempts.size() == 1 && request.attempts.front().expectedMs > 0) {
         const auto &attempt = request.attempts.front();
         // Computed from durations, not from the times of the lines: the wall clock may jump between two lines.
-        figures.firstToExpected.push_back((request.firstMs - attempt.waitedMs) / attempt.expectedMs);
+        figures.firstEventRatios.push_back((request.firstEventMs - attempt.waitedMs) / attempt.expectedMs);
     }
 }
 
-std::map<std::string, std::map<core::Time, RouteFigures>> LogReport::figures() const
+std::map<std::string, std::map<core::Time, RouteStatistics>> LogReport::statistics() const
 {
-    std::map<std::string, std::map<core::Time, RouteFigures>> byRoute;
+    std::map<std::string, std::map<core::Time, RouteStatistics>> byRoute;
     for (const auto &[id, request] : m_requests) {
         if (request.endedAt == absl::InfinitePast()) {
             continue; // The request has not ended yet, or its end was logged in a file that was not added.
         }
         const auto arrivedAt = request.endedAt - absl::Milliseconds(request.totalMs);
-        const auto number = absl::Floor(arrivedAt - absl::UnixEpoch(), m_interval);
-        count(request, byRoute[request.route][absl::UnixEpoch() + number]);
+        const auto intervalStart = absl::Floor(arrivedAt - absl::UnixEpoch(), m_interval);
+        count(request, byRoute[request.route][absl::UnixEpoch() + intervalStart]);
     }
     return byRoute;
 }
 
 std::string LogReport::text() const
 {
-    constexpr double Low = 0.1;
-    constexpr double Middle = 0.5;
-    constexpr double High = 0.9;
+    constexpr double LowQuantile = 0.1;
+    constexpr double MedianQuantile = 0.5;
+    constexpr double HighQuantile = 0.9;
     constexpr double MsPerSecond = 1000;
     std::string text;
-    for (const auto &[route, intervals] : figures()) {
+    for (const auto &[route, intervals] : statistics()) {
         core::append(text, "route ", route.empty() ? "(none)" : route, "\n");
         core::append(text, "  begin     asked in-time late-first long-pause not-whole  first/expected p10 p50 p90",
                      "  pause p50 p90 ms  read s  in vain\n");
         for (const auto &[begin, row] : intervals) {
-            core::append(
-                text,
-                absl::StrFormat("  %s  %5d %7d %10d %10d %9d  %18.2f %3.2f %3.2f  %9.0f %3.0f  %9.2f %7.0f%%\n",
-                                absl::FormatTime("%H:%M:%S", begin, absl::UTCTimeZone()), row.requests, row.inTime,
-                                row.lateFirst, row.longPause, row.notWhole, quantile(row.firstToExpected, Low),
-                                quantile(row.firstToExpected, Middle), quantile(row.firstToExpected, High),
-                                quantile(row.pausesMs, Middle), quantile(row.pausesMs, High), row.readMs / MsPerSecond,
-                                row.readMs > 0 ? row.readInVainMs / row.readMs * 100 : 0));
-            if (!row.ends.empty()) {
-                core::append(text, "            not whole:", countsText(row.ends), "\n");
+            core::append(text,
+                         absl::StrFormat(
+                             "  %s  %5d %7d %10d %10d %9d  %18.2f %3.2f %3.2f  %9.0f %3.0f  %9.2f %7.0f%%\n",
+                             absl::FormatTime("%H:%M:%S", begin, absl::UTCTimeZone()), row.requests, row.inTime,
+                             row.lateFirstEvent, row.longGap, row.failed, quantile(row.firstEventRatios, LowQuantile),
+                             quantile(row.firstEventRatios, MedianQuantile),
+                             quantile(row.firstEventRatios, HighQuantile), quantile(row.longestGapsMs, MedianQuantile),
+                             quantile(row.longestGapsMs, HighQuantile), row.prefillMs / MsPerSecond,
+                             row.prefillMs > 0 ? row.wastedPrefillMs / row.prefillMs * 100 : 0));
+            if (!row.failureReasons.empty()) {
+                core::append(text, "            not whole:", formatCounts(row.failureReasons), "\n");
             }
-            if (!row.resends.empty()) {
-                core::append(text, "            attempts failed:", countsText(row.resends), "\n");
+            if (!row.attemptFailures.empty()) {
+                core::append(text, "            attempts failed:", formatCounts(row.attemptFailures), "\n");
             }
         }
     }
     return text;
 }
 
-std::vector<std::string> linesOf(std::string_view request, std::istream &lines)
+std::vector<std::string> linesOfRequest(std::string_view requestId, std::istream &lines)
 {
     std::vector<std::pair<core::Time, std::string>> found;
     std::string line;
     while (std::getline(lines, line)) {
-        const auto object = objectIn(line);
-        if (object && object->value("request", "") == request) {
-            found.emplace_back(timeOf(*object), line);
+        const auto object = parseLogLine(line);
+        if (object && object->value("request", "") == requestId) {
+            found.emplace_back(lineTime(*object), line);
         }
     }
     std::stable_sort(found.begin(), found.end(),
--- a/src/settings/relay_settings.cpp
+++ b/src/settings/relay_settings.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-constexpr double MostRatio = 1000;
-constexpr double MostCores = 1024;
-constexpr std::int64_t MostReaders = 1000;
+constexpr double MaxRatio = 1000;
+constexpr double MaxCores = 1024;
+constexpr std::int64_t MaxReaders = 1000;
 
 void readBounds(core::ObjectReader &reader, RelayBounds &bounds)
 {
@@ -23,53 +23,53 @@
     bounds.targetHeartbeat = readMs(reader, "targetHeartbeatMs", bounds.targetHeartbeat);
     bounds.grace = readMs(reader, "graceMs", bounds.grace);
     bounds.revoke = readMs(reader, "revokeMs", bounds.revoke);
-    bounds.failClosed = reader.flag("failClosed", bounds.failClosed);
-    bounds.retryRatio = reader.number("retryRatio", 0, MostRatio, bounds.retryRatio);
+    bounds.failClosed = reader.boolean("failClosed", bounds.failClosed);
+    bounds.retryRatio = reader.number("retryRatio", 0, MaxRatio, bounds.retryRatio);
     bounds.retryWindow = readMs(reader, "retryWindowMs", bounds.retryWindow);
-    bounds.retrySlack = reader.number("retrySlack", 0, MostEntries, bounds.retrySlack);
+    bounds.retrySlack = reader.number("retrySlack", 0, MaxEntries, bounds.retrySlack);
     bounds.longestHold = readMs(reader, "longestHoldMs", bounds.longestHold);
     bounds.evacuate = readMs(reader, "evacuateMs", bounds.evacuate);
     bounds.freeAfter = readMs(reader, "freeAfterMs", bounds.freeAfter);
 }
 
-void readPlacement(core::ObjectReader &reader, PlacementRule &rule)
+void readPlacement(core::ObjectReader &reader, PlacementWeights &weights)
 {
-    constexpr double MostMs = 1e6;
-    constexpr double MostWeight = 1e6;
-    constexpr std::int64_t MostEngines = 15; // An engine accepts no more helpers.
-    rule.tightGap = readMs(reader, "tightGapMs", rule.tightGap);
-    rule.passShare = reader.number("passShare", 0, 1, rule.passShare);
-    rule.emptyAheadMs = reader.number("emptyAheadMs", 0, MostMs, rule.emptyAheadMs);
-    rule.gatherCostMs = reader.number("gatherCostMs", 0, MostMs, rule.gatherCostMs);
-    rule.lateSpan = reader.number("lateSpan", 0, MostWeight, rule.lateSpan);
-    rule.patienceShare = reader.number("patienceShare", 0, 1, rule.patienceShare);
-    rule.harmWeight = reader.number("harmWeight", 0, MostWeight, rule.harmWeight);
-    rule.expectedWeight = reader.number("expectedWeight", 0, MostWeight, rule.expectedWeight);
-    rule.lateWeight = reader.number("lateWeight", 0, MostWeight, rule.lateWeight);
-    rule.aimShare = reader.number("aimShare", 0, 1, rule.aimShare);
-    rule.helperCostMs = reader.number("helperCostMs", 0, MostMs, rule.helperCostMs);
-    rule.notKeptCostMs = reader.number("notKeptCostMs", 0, MostMs, rule.notKeptCostMs);
-    rule.fillCostMs = reader.number("fillCostMs", 0, MostMs, rule.fillCostMs);
-    rule.otherDomainCostMs = reader.number("otherDomainCostMs", 0, MostMs, rule.otherDomainCostMs);
-    rule.mostAheadTightMs = reader.number("mostAheadTightMs", 0, MostMs, rule.mostAheadTightMs);
-    rule.mostQueueMs = reader.number("mostQueueMs", 0, MostMs, rule.mostQueueMs);
-    rule.queueShare = reader.number("queueShare", 0, MostWeight, rule.queueShare);
-    rule.tightFill = reader.number("tightFill", 0.1, 1, rule.tightFill);
-    rule.tightSpare = reader.number("tightSpare", 0, MostWeight, rule.tightSpare);
-    rule.tightOnlyShare = reader.number("tightOnlyShare", 0, 1, rule.tightOnlyShare);
-    rule.mostHelpers = static_cast<int>(reader.integer("mostHelpers", 0, MostEngines, rule.mostHelpers));
-    rule.leastPartTokens = reader.integer("leastPartTokens", 1, MostEntries, rule.leastPartTokens);
-    rule.memoryShare = reader.number("memoryShare", 0, 1, rule.memoryShare);
-    rule.plainQueueShare = reader.number("plainQueueShare", 0, MostWeight, rule.plainQueueShare);
+    constexpr double MaxCostMs = 1e6;
+    constexpr double MaxWeight = 1e6;
+    constexpr std::int64_t MaxHelpers = 15; // An engine accepts no more helpers.
+    weights.tightGap = readMs(reader, "tightGapMs", weights.tightGap);
+    weights.passShare = reader.number("passShare", 0, 1, weights.passShare);
+    weights.emptyAheadMs = reader.number("emptyAheadMs", 0, MaxCostMs, weights.emptyAheadMs);
+    weights.gatherCostMs = reader.number("gatherCostMs", 0, MaxCostMs, weights.gatherCostMs);
+    weights.lateSpan = reader.number("lateSpan", 0, MaxWeight, weights.lateSpan);
+    weights.patienceShare = reader.number("patienceShare", 0, 1, weights.patienceShare);
+    weights.harmWeight = reader.number("harmWeight", 0, MaxWeight, weights.harmWeight);
+    weights.expectedWeight = reader.number("expectedWeight", 0, MaxWeight, weights.expectedWeight);
+    weights.lateWeight = reader.number("lateWeight", 0, MaxWeight, weights.lateWeight);
+    weights.aimShare = reader.number("aimShare", 0, 1, weights.aimShare);
+    weights.helperCostMs = reader.number("helperCostMs", 0, MaxCostMs, weights.helperCostMs);
+    weights.notKeptCostMs = reader.number("notKeptCostMs", 0, MaxCostMs, weights.notKeptCostMs);
+    weights.fillCostMs = reader.number("fillCostMs", 0, MaxCostMs, weights.fillCostMs);
+    weights.otherDomainCostMs = reader.number("otherDomainCostMs", 0, MaxCostMs, weights.otherDomainCostMs);
+    weights.mostAheadTightMs = reader.number("mostAheadTightMs", 0, MaxCostMs, weights.mostAheadTightMs);
+    weights.mostQueueMs = reader.number("mostQueueMs", 0, MaxCostMs, weights.mostQueueMs);
+    weights.queueShare = reader.number("queueShare", 0, MaxWeight, weights.queueShare);
+    weights.tightFill = reader.number("tightFill", 0.1, 1, weights.tightFill);
+    weights.tightSpare = reader.number("tightSpare", 0, MaxWeight, weights.tightSpare);
+    weights.tightOnlyShare = reader.number("tightOnlyShare", 0, 1, weights.tightOnlyShare);
+    weights.mostHelpers = static_cast<int>(reader.integer("mostHelpers", 0, MaxHelpers, weights.mostHelpers));
+    weights.leastPartTokens = reader.integer("leastPartTokens", 1, MaxEntries, weights.leastPartTokens);
+    weights.memoryShare = reader.number("memoryShare", 0, 1, weights.memoryShare);
+    weights.plainQueueShare = reader.number("plainQueueShare", 0, MaxWeight, weights.plainQueueShare);
 }
 
 RelaySettings readSettings(core::ObjectReader &reader)
 {
     RelaySettings settings;
-    settings.vm = reader.text("vm");
-    settings.failureDomain = reader.text("failureDomain");
-    settings.failureDomains = reader.texts("failureDomains");
-    settings.region = reader.text("region", "");
+    settings.vm = reader.string("vm");
+    settings.failureDomain = reader.string("failureDomain");
+    settings.failureDomains = reader.strings("failureDomains");
+    settings.region = reader.string("region", "");
     settings.callerAddress = readAddress(reader, "callerAddress");
     settings.readinessAddress = readAddress(reader, "readinessAddress");
     settings.controlAddress = readAddress(reader, "controlAddress");
@@ -77,13 +77,13 @@
     settings.metricsAddress = readAddress(reader, "metricsAddress");
     settings.store = readAddress(reader, "store");
     settings.seeds = readAddresses(reader, "seeds");
-    settings.processorShare = reader.number("processorShare", 0, MostCores, settings.processorShare);
+    settings.processorShare = reader.number("processorShare", 0, MaxCores, settings.processorShare);
     settings.readersPerDomain
-        = static_cast<int>(reader.integer("readersPerDomain", 1, MostReaders, settings.readersPerDomain));
+        = static_cast<int>(reader.integer("readersPerDomain", 1, MaxReaders, settings.readersPerDomain));
     settings.logLevel = readLogLevel(reader);
-    reader.object("bounds", [&](core::ObjectReader &child) { readBounds(child, settings.bounds); });
-    reader.object("placement", [&](core::ObjectReader &child) { readPlacement(child, settings.placement); });
-    reader.rejectOthers();
+    reader.visitObject("bounds", [&](core::ObjectReader &child) { readBounds(child, settings.bounds); });
+    reader.visitObject("placement", [&](core::ObjectReader &child) { readPlacement(child, settings.placement); });
+    reader.rejectUnknownMembers();
     return settings;
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -13,16 +13,16 @@
 namespace
 {
 
-constexpr std::int64_t MostConnections = 20'000;
-constexpr std::int64_t MostBytes = 1LL << 36;
+constexpr std::int64_t MaxConnections = 20'000;
+constexpr std::int64_t MaxBytes = 1LL << 36;
 
 void readLimits(core::ObjectReader &reader, Limits &limits)
 {
-    limits.connections = reader.integer("connections", 1, MostConnections, limits.connections);
-    limits.adminConnections = reader.integer("adminConnections", 1, MostConnections, limits.adminConnections);
-    limits.bodyBytes = reader.integer("bodyBytes", 1, MostBytes, limits.bodyBytes);
-    limits.bodyMemoryBytes = reader.integer("bodyMemoryBytes", 1, MostBytes, limits.bodyMemoryBytes);
-    limits.decisionsKept = reader.integer("decisionsKept", 1, MostEntries, limits.decisionsKept);
+    limits.connections = reader.integer("connections", 1, MaxConnections, limits.connections);
+    limits.adminConnections = reader.integer("adminConnections", 1, MaxConnections, limits.adminConnections);
+    limits.bodyBytes = reader.integer("bodyBytes", 1, MaxBytes, limits.bodyBytes);
+    limits.bodyMemoryBytes = reader.integer("bodyMemoryBytes", 1, MaxBytes, limits.bodyMemoryBytes);
+    limits.decisionsKept = reader.integer("decisionsKept", 1, MaxEntries, limits.decisionsKept);
 }
 
 void readTiming(core::ObjectReader &reader, Timing &timing)
@@ -38,21 +38,21 @@
 DaemonSettings readSettings(core::ObjectReader &reader)
 {
     DaemonSettings settings;
-    settings.vm = reader.text("vm");
-    settings.failureDomain = reader.text("failureDomain");
-    settings.failureDomains = reader.texts("failureDomains");
-    settings.region = reader.text("region");
+    settings.vm = reader.string("vm");
+    settings.failureDomain = reader.string("failureDomain");
+    settings.failureDomains = reader.strings("failureDomains");
+    settings.region = reader.string("region");
     settings.callerAddress = readAddress(reader, "callerAddress");
     settings.adminAddress = readAddress(reader, "adminAddress");
     settings.peerAddress = readAddress(reader, "peerAddress");
     settings.rpcAddress = readAddress(reader, "rpcAddress");
     settings.platform = readAddresses(reader, "platform");
     settings.seeds = readAddresses(reader, "seeds");
-    settings.peerKey = reader.text("peerKey", "");
+    settings.peerKey = reader.string("peerKey", "");
     settings.logLevel = readLogLevel(reader);
-    reader.object("limits", [&](core::ObjectReader &child) { readLimits(child, settings.limits); });
-    reader.object("timing", [&](core::ObjectReader &child) { readTiming(child, settings.timing); });
-    reader.rejectOthers();
+    reader.visitObject("limits", [&](core::ObjectReader &child) { readLimits(child, settings.limits); });
+    reader.visitObject("timing", [&](core::ObjectReader &child) { readTiming(child, settings.timing); });
+    reader.rejectUnknownMembers();
     return settings;
 }
 
--- a/src/settings/settings_reader.h
+++ b/src/settings/settings_reader.h
@@ -19,20 +19,20 @@
 namespace spurlug::settings
 {
 
-inline constexpr std::int64_t LongestMs = 3'600'000;
-inline constexpr std::int64_t MostEntries = 1'000'000;
+inline constexpr std::int64_t MaxMs = 3'600'000;
+inline constexpr std::int64_t MaxEntries = 1'000'000;
 
 /// \brief Reads a required address and records an error if it is missing or malformed.
 inline core::Address readAddress(core::ObjectReader &reader, const std::string &key)
 {
-    const auto text = reader.text(key);
+    const auto text = reader.string(key);
     if (text.empty()) {
         return {};
     }
     try {
         return core::parseAddress(text);
     } catch (const core::InvalidDocument &) {
-        reader.fault(key, "HOST:PORT");
+        reader.addFault(key, "HOST:PORT");
         return {};
     }
 }
@@ -41,11 +41,11 @@
 inline std::vector<core::Address> readAddresses(core::ObjectReader &reader, const std::string &key)
 {
     std::vector<core::Address> all;
-    for (const auto &text : reader.texts(key)) {
+    for (const auto &text : reader.strings(key)) {
         try {
             all.push_back(core::parseAddress(text));
         } catch (const core::InvalidDocument &) {
-            reader.fault(key, "an array of HOST:PORT");
+            reader.addFault(key, "an array of HOST:PORT");
         }
     }
     return all;
@@ -54,14 +54,14 @@
 /// \brief Reads an optional number of milliseconds.
 inline core::Duration readMs(core::ObjectReader &reader, const std::string &key, core::Duration fallback)
 {
-    return core::fromMs(reader.integer(key, 1, LongestMs, core::toMs(fallback)));
+    return core::fromMs(reader.integer(key, 1, MaxMs, core::toMs(fallback)));
 }
 
 inline core::LogLevel readLogLevel(core::ObjectReader &reader)
 {
-    const auto level = core::valueNamed<core::LogLevel>(reader.text("logLevel", "info"));
+    const auto level = core::enumFromName<core::LogLevel>(reader.string("logLevel", "info"));
     if (!level) {
-        reader.fault("logLevel", "debug, info, warning or error");
+        reader.addFault("logLevel", "debug, info, warning or error");
     }
     return level.value_or(core::LogLevel::Info);
 }
--- a/src/targets/engine_control.cpp
+++ b/src/targets/engine_control.cpp
@@ -17,9 +17,9 @@
 namespace
 {
 
-constexpr int Ok = 200;
+constexpr int HttpOk = 200;
 
-httplib::Client connect(const core::Address &address, core::Duration timeout)
+httplib::Client makeClient(const core::Address &address, core::Duration timeout)
 {
     httplib::Client client(address.host, address.port);
     client.set_connection_timeout(absl::ToChronoMicroseconds(timeout));
@@ -30,13 +30,13 @@
 
 bool succeeded(const httplib::Result &result)
 {
-    return result && result->status == Ok;
+    return result && result->status == HttpOk;
 }
 
-LoadReport readReport(const nlohmann::json &value)
+LoadReport parseReport(const nlohmann::json &value)
 {
     LoadReport report;
-    report.condition = value.value("leaving", false) ? TargetCondition::Leaving : TargetCondition::Serving;
+    report.condition = value.value("leaving", false) ? TargetCondition::Draining : TargetCondition::Serving;
     report.queuedTokens = value.value("queuedTokens", std::int64_t{0});
     report.urgentTokens = value.value("urgentTokens", std::int64_t{0});
     report.streams = value.value("streams", std::int64_t{0});
@@ -62,7 +62,7 @@
 };
 
 LoadReader::LoadReader(const core::Address &address, core::Duration timeout)
-    : m_impl(new Impl{address, connect(address, timeout)})
+    : m_impl(new Impl{address, makeClient(address, timeout)})
 {
     m_impl->client.set_keep_alive(true);
 }
@@ -84,10 +84,10 @@
         m_impl->lastBytes += static_cast<std::int64_t>(name.size() + text.size()) + 4;
     }
     const auto value = nlohmann::json::parse(result->body, nullptr, false);
-    return value.is_object() ? std::optional(readReport(value)) : std::nullopt;
+    return value.is_object() ? std::optional(parseReport(value)) : std::nullopt;
 }
 
-std::int64_t LoadReader::lastBytes() const noexcept
+std::int64_t LoadReader::lastTransferBytes() const noexcept
 {
     return m_impl->lastBytes;
 }
@@ -103,19 +103,19 @@
                               {"incarnation", reservation.incarnation},
                               {"tokens", reservation.tokens},
                               {"ttlMs", core::toMs(reservation.ttl)}};
-    auto client = connect(m_address, m_timeout);
+    auto client = makeClient(m_address, m_timeout);
     return succeeded(client.Put("/reservations/" + reservation.id, body.dump(), "application/json"));
 }
 
 bool EngineControl::release(const std::string &reservationId) const
 {
-    auto client = connect(m_address, m_timeout);
+    auto client = makeClient(m_address, m_timeout);
     return succeeded(client.Delete("/reservations/" + reservationId));
 }
 
 bool EngineControl::cancel(const std::string &requestId) const
 {
-    auto client = connect(m_address, m_timeout);
+    auto client = makeClient(m_address, m_timeout);
     return succeeded(client.Post(core::cat("/cancel/", requestId), "", "text/plain"));
 }
 
--- a/src/targets/observer.cpp
+++ b/src/targets/observer.cpp
@@ -17,9 +17,9 @@
 namespace
 {
 
-constexpr std::size_t MostObserved = 2; // More only if there are more than twice as many targets as daemons.
+constexpr std::size_t MaxObservedTargets = 2; // More only if there are more than twice as many targets as daemons.
 constexpr std::size_t PollThreads = 4;
-constexpr std::size_t MostQueuedPolls = 1024;
+constexpr std::size_t MaxQueuedPolls = 1024;
 
 } // namespace
 
@@ -31,8 +31,8 @@
     , m_configuration(std::move(configuration))
     , m_failureDomain(std::move(failureDomain))
     , m_interval(interval)
-    , m_pool(PollThreads, MostQueuedPolls)
-    , m_poller(std::make_unique<core::Periodic>("observer", [this] { return pollRound(); }))
+    , m_pool(PollThreads, MaxQueuedPolls)
+    , m_poller(std::make_unique<core::PeriodicThread>("observer", [this] { return pollRound(); }))
 { }
 
 Observer::~Observer()
@@ -50,7 +50,7 @@
     return loads;
 }
 
-std::vector<config::TargetSpec> Observer::assigned() const
+std::vector<config::TargetSpec> Observer::assignedTargets() const
 {
     const auto configuration = m_configuration();
     std::vector<config::TargetSpec> local;
@@ -66,10 +66,10 @@
             }
         }
     }
-    const auto shares = core::shareOut(ids, m_fleet.roleHolders(core::now()), MostObserved);
+    const auto assignments = core::assignByRendezvous(ids, m_fleet.roleHolders(core::now()), MaxObservedTargets);
     std::erase_if(local, [&](const auto &spec) {
-        const auto share = shares.find(spec.id);
-        return share == shares.end() || share->second != m_fleet.self();
+        const auto assignment = assignments.find(spec.id);
+        return assignment == assignments.end() || assignment->second != m_fleet.self();
     });
     return local;
 }
@@ -77,10 +77,10 @@
 core::Duration Observer::pollRound()
 {
     const auto started = core::now();
-    keepReaders(assigned());
+    updateReaders(assignedTargets());
     absl::BlockingCounter pending(static_cast<int>(m_readers.size()));
     for (const auto &[id, reader] : m_readers) {
-        m_pool.run([this, id = id, reader = reader.get(), &pending] {
+        m_pool.submit([this, id = id, reader = reader.get(), &pending] {
             poll(id, *reader);
             pending.DecrementCount();
         });
@@ -89,13 +89,13 @@
     return std::max(m_interval - (core::now() - started), absl::ZeroDuration());
 }
 
-void Observer::keepReaders(const std::vector<config::TargetSpec> &specs)
+void Observer::updateReaders(const std::vector<config::TargetSpec> &specs)
 {
     Readers readers;
     for (const auto &spec : specs) {
         auto known = m_readers.find(spec.id);
-        const bool same = known != m_readers.end() && known->second->address() == spec.address;
-        readers[spec.id] = same ? std::move(known->second) : std::make_unique<LoadReader>(spec.address);
+        const bool reusable = known != m_readers.end() && known->second->address() == spec.address;
+        readers[spec.id] = reusable ? std::move(known->second) : std::make_unique<LoadReader>(spec.address);
     }
     m_readers = std::move(readers);
     absl::MutexLock lock(&m_mutex);
@@ -107,12 +107,12 @@
     const auto readAt = core::now();
     const auto report = reader.read();
     m_metrics.count(metrics::Counter::LoadPolls);
-    m_metrics.count(metrics::Counter::LoadPollBytes, reader.lastBytes());
-    Observed observed{report.value_or(LoadReport{}), readAt};
+    m_metrics.count(metrics::Counter::LoadPollBytes, reader.lastTransferBytes());
+    ObservedTarget observed{report.value_or(LoadReport{}), readAt};
     if (!report) {
         observed.report.condition = TargetCondition::Unreachable;
     }
-    m_table.report(targetHash(id), observed.report, readAt);
+    m_table.recordReport(targetHash(id), observed.report, readAt);
     absl::MutexLock lock(&m_mutex);
     m_observed[id] = observed;
 }
--- a/src/targets/outstanding.cpp
+++ b/src/targets/outstanding.cpp
@@ -12,34 +12,34 @@
 
 Outstanding &Outstanding::operator+=(const Outstanding &other) noexcept
 {
-    readMicros += other.readMicros;
-    partMicros += other.partMicros;
+    prefillMicros += other.prefillMicros;
+    partPrefillMicros += other.partPrefillMicros;
     requests += other.requests;
-    writers += other.writers;
-    tightRequests += other.tightRequests;
-    parts += other.parts;
+    decodingRequests += other.decodingRequests;
+    shortGapRequests += other.shortGapRequests;
+    prefillParts += other.prefillParts;
     memoryTokens += other.memoryTokens;
-    contextTokens += other.contextTokens;
+    decodingContextTokens += other.decodingContextTokens;
     return *this;
 }
 
 Outstanding &Outstanding::operator-=(const Outstanding &other) noexcept
 {
-    readMicros -= other.readMicros;
-    partMicros -= other.partMicros;
+    prefillMicros -= other.prefillMicros;
+    partPrefillMicros -= other.partPrefillMicros;
     requests -= other.requests;
-    writers -= other.writers;
-    tightRequests -= other.tightRequests;
-    parts -= other.parts;
+    decodingRequests -= other.decodingRequests;
+    shortGapRequests -= other.shortGapRequests;
+    prefillParts -= other.prefillParts;
     memoryTokens -= other.memoryTokens;
-    contextTokens -= other.contextTokens;
+    decodingContextTokens -= other.decodingContextTokens;
     return *this;
 }
 
 Outstanding &Outstanding::operator*=(double factor) noexcept
 {
-    for (auto *field :
-         {&readMicros, &partMicros, &requests, &writers, &tightRequests, &parts, &memoryTokens, &contextTokens}) {
+    for (auto *field : {&prefillMicros, &partPrefillMicros, &requests, &decodingRequests, &shortGapRequests,
+                        &prefillParts, &memoryTokens, &decodingContextTokens}) {
         *field = static_cast<std::int64_t>(static_cast<double>(*field) * factor);
     }
     return *this;
--- a/src/targets/target_table.cpp
+++ b/src/targets/target_table.cpp
@@ -13,7 +13,7 @@
 namespace spurlug::targets
 {
 
-TargetTable::TargetTable(BreakerRule rule)
+TargetTable::TargetTable(CircuitBreakerRule rule)
     : m_rule(rule)
 { }
 
@@ -22,7 +22,7 @@
     std::unordered_map<std::string, Entry> entries;
     std::unordered_map<std::uint32_t, std::string> idByHash;
     absl::MutexLock lock(&m_mutex);
-    const auto take = [&](const config::TargetSpec &spec) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
+    const auto addTarget = [&](const config::TargetSpec &spec) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
         const auto known = m_entries.find(spec.id);
         auto &entry = entries[spec.id];
         if (known != m_entries.end()) {
@@ -32,16 +32,16 @@
         idByHash[targetHash(spec.id)] = spec.id;
     };
     for (const auto &pool : configuration.pools) {
-        std::for_each(pool.targets.begin(), pool.targets.end(), take);
+        std::for_each(pool.targets.begin(), pool.targets.end(), addTarget);
     }
     for (const auto &service : configuration.services) {
-        std::for_each(service.targets.begin(), service.targets.end(), take);
+        std::for_each(service.targets.begin(), service.targets.end(), addTarget);
     }
     m_entries = std::move(entries);
     m_idByHash = std::move(idByHash);
 }
 
-void TargetTable::report(std::uint32_t targetHash, const LoadReport &report, core::Time observedAt)
+void TargetTable::recordReport(std::uint32_t targetHash, const LoadReport &report, core::Time observedAt)
 {
     absl::MutexLock lock(&m_mutex);
     const auto id = m_idByHash.find(targetHash);
@@ -58,7 +58,8 @@
     entry.observedAt = observedAt;
 }
 
-void TargetTable::dispatched(const std::string &id, const std::string &requestId, std::int64_t tokens, core::Time now)
+void TargetTable::recordDispatch(const std::string &id, const std::string &requestId, std::int64_t tokens,
+                                 core::Time now)
 {
     absl::MutexLock lock(&m_mutex);
     const auto entry = m_entries.find(id);
@@ -67,7 +68,7 @@
     }
 }
 
-void TargetTable::firstToken(const std::string &id, const std::string &requestId)
+void TargetTable::recordFirstToken(const std::string &id, const std::string &requestId)
 {
     absl::MutexLock lock(&m_mutex);
     const auto entry = m_entries.find(id);
@@ -80,7 +81,7 @@
     }
 }
 
-void TargetTable::ended(const std::string &id, const std::string &requestId, bool targetFailed, core::Time now)
+void TargetTable::recordEnd(const std::string &id, const std::string &requestId, bool targetFailed, core::Time now)
 {
     absl::MutexLock lock(&m_mutex);
     const auto found = m_entries.find(id);
@@ -90,32 +91,32 @@
     auto &entry = found->second;
     entry.dispatches.erase(requestId);
     if (targetFailed) {
-        noteFailure(entry, now);
+        recordFailure(entry, now);
     } else {
-        entry.failures = 0;
-        entry.ejections = 0;
+        entry.consecutiveFailures = 0;
+        entry.consecutiveEjections = 0;
     }
 }
 
-void TargetTable::noteFailure(Entry &entry, core::Time now) const
+void TargetTable::recordFailure(Entry &entry, core::Time now) const
 {
-    ++entry.failures;
-    if (entry.failures < m_rule.failures) {
+    ++entry.consecutiveFailures;
+    if (entry.consecutiveFailures < m_rule.failuresToEject) {
         return;
     }
-    constexpr int MostDoublings = 10;
-    const auto span = m_rule.firstEjection * (1 << std::min(entry.ejections, MostDoublings));
-    entry.ejectedUntil = now + std::min(span, m_rule.longestEjection);
-    ++entry.ejections;
-    entry.failures = m_rule.failures - 1;
+    constexpr int MaxDoublings = 10;
+    const auto duration = m_rule.firstEjection * (1 << std::min(entry.consecutiveEjections, MaxDoublings));
+    entry.ejectedUntil = now + std::min(duration, m_rule.maxEjection);
+    ++entry.consecutiveEjections;
+    entry.consecutiveFailures = m_rule.failuresToEject - 1;
 }
 
-void TargetTable::askedForCooldown(const std::string &id, core::Duration span, core::Time now)
+void TargetTable::recordCooldown(const std::string &id, core::Duration duration, core::Time now)
 {
     absl::MutexLock lock(&m_mutex);
     const auto entry = m_entries.find(id);
     if (entry != m_entries.end()) {
-        entry->second.cooldown.ask(span, now);
+        entry->second.cooldown.request(duration, now);
     }
 }
 
@@ -127,13 +128,13 @@
     for (const auto &spec : specs) {
         const auto entry = m_entries.find(spec.id);
         if (entry != m_entries.end()) {
-            all.push_back(view(entry->second, now));
+            all.push_back(viewOf(entry->second, now));
         }
     }
     return all;
 }
 
-TargetView TargetTable::view(const Entry &entry, core::Time now) const
+TargetView TargetTable::viewOf(const Entry &entry, core::Time now) const
 {
     TargetView view;
     view.id = entry.spec.id;
@@ -142,11 +143,11 @@
     view.report = entry.report;
     view.reportAge = now - entry.observedAt;
     view.ejected = now < entry.ejectedUntil;
-    view.cooldownLeft = entry.cooldown.lasts(now) ? entry.cooldown.until() - now : absl::ZeroDuration();
+    view.cooldownLeft = entry.cooldown.isActive(now) ? entry.cooldown.endsAt() - now : absl::ZeroDuration();
     view.ownStreams = static_cast<std::int64_t>(entry.dispatches.size());
     for (const auto &[id, dispatch] : entry.dispatches) {
-        if (dispatch.prefilling && dispatch.at > entry.observedAt) {
-            view.ownTokens += dispatch.tokens;
+        if (dispatch.prefilling && dispatch.sentAt > entry.observedAt) {
+            view.ownPrefillTokens += dispatch.tokens;
         }
     }
     return view;
--- a/standins/cache_events.cpp
+++ b/standins/cache_events.cpp
@@ -8,33 +8,33 @@
 namespace standins
 {
 
-CacheEvents::CacheEvents(spurlug::core::Duration lag, std::uint64_t loseEvery, std::size_t kept)
+CacheEvents::CacheEvents(spurlug::core::Duration lag, std::uint64_t lossInterval, std::size_t capacity)
     : m_lag(lag)
-    , m_loseEvery(loseEvery)
-    , m_kept(kept)
+    , m_lossInterval(lossInterval)
+    , m_capacity(capacity)
 { }
 
 void CacheEvents::add(CacheEventKind kind, std::uint64_t block, spurlug::core::Time now)
 {
-    ++m_last;
-    if (m_loseEvery != 0 && m_last % m_loseEvery == 0) {
+    ++m_lastNumber;
+    if (m_lossInterval != 0 && m_lastNumber % m_lossInterval == 0) {
         return;
     }
-    m_events.push_back({m_last, kind, block, now});
-    if (m_events.size() > m_kept) {
+    m_events.push_back({m_lastNumber, kind, block, now});
+    if (m_events.size() > m_capacity) {
         m_events.pop_front();
     }
 }
 
-std::vector<CacheEvent> CacheEvents::since(std::uint64_t after, spurlug::core::Time now) const
+std::vector<CacheEvent> CacheEvents::eventsAfter(std::uint64_t after, spurlug::core::Time now) const
 {
-    std::vector<CacheEvent> shown;
+    std::vector<CacheEvent> events;
     for (const auto &event : m_events) {
-        if (event.number > after && now - event.at >= m_lag) {
-            shown.push_back(event);
+        if (event.number > after && now - event.time >= m_lag) {
+            events.push_back(event);
         }
     }
-    return shown;
+    return events;
 }
 
 } // namespace standins
--- a/standins/cache_events.h
+++ b/standins/cache_events.h
@@ -27,7 +27,7 @@
     std::uint64_t number = 0;
     CacheEventKind kind = CacheEventKind::Stored;
     std::uint64_t block = 0;
-    spurlug::core::Time at;
+    spurlug::core::Time time;
 };
 
 /// \brief Keeps the latest events, returns them after a delay and drops some of them.
@@ -35,20 +35,20 @@
 {
 public:
     /// \param lag Age from which on an event is returned.
-    /// \param loseEvery Interval of lost events: 50 drops every 50th event, 0 drops none.
+    /// \param lossInterval Interval of lost events: 50 drops every 50th event, 0 drops none.
     /// \param kept Maximum number of events that are kept; older ones are dropped.
-    CacheEvents(spurlug::core::Duration lag, std::uint64_t loseEvery, std::size_t kept);
+    CacheEvents(spurlug::core::Duration lag, std::uint64_t lossInterval, std::size_t capacity);
 
     void add(CacheEventKind kind, std::uint64_t block, spurlug::core::Time now);
 
     /// \brief Returns the events with a number above `after` that are at least the lag old.
-    [[nodiscard]] std::vector<CacheEvent> since(std::uint64_t after, spurlug::core::Time now) const;
+    [[nodiscard]] std::vector<CacheEvent> eventsAfter(std::uint64_t after, spurlug::core::Time now) const;
 
 private:
     const spurlug::core::Duration m_lag;
-    const std::uint64_t m_loseEvery;
-    const std::size_t m_kept;
-    std::uint64_t m_last = 0;
+    const std::uint64_t m_lossInterval;
+    const std::size_t m_capacity;
+    std::uint64_t m_lastNumber = 0;
     std::deque<CacheEvent> m_events;
 };
 
--- a/standins/engine_orders.h
+++ b/standins/engine_commands.h
@@ -14,7 +14,7 @@
 {
 
 /// \brief A command to an engine.
-struct EngineOrder
+struct EngineCommand
 {
     std::uint64_t epoch = 0; ///< Fencing epoch of the sender.
     std::string kind; ///< "load", "unload" or "role".
@@ -23,31 +23,31 @@
 };
 
 /// \brief Models, adapters and role of an engine, and the highest epoch it accepted. A state machine without I/O.
-class EngineOrders
+class EngineCommands
 {
 public:
     /// \param checksFence Whether commands of an older epoch are rejected.
     /// \param loadTime Time that loading takes.
-    EngineOrders(bool checksFence, spurlug::core::Duration loadTime);
+    EngineCommands(bool checksFence, spurlug::core::Duration loadTime);
 
-    enum class Reply
+    enum class CommandResult
     {
         Accepted,
         Outdated, ///< A command of a higher epoch was accepted before.
-        Unknown, ///< Unknown kind of command.
+        UnknownKind, ///< Unknown kind of command.
     };
-    Reply give(const EngineOrder &order, spurlug::core::Time now);
+    CommandResult apply(const EngineCommand &command, spurlug::core::Time now);
 
     /// \brief Returns the highest epoch of an accepted command.
     [[nodiscard]] std::uint64_t highestEpoch() const noexcept;
 
     /// \brief Returns the versions of all models and adapters that are loaded at `now`, by name.
-    [[nodiscard]] std::map<std::string, std::string> loaded(spurlug::core::Time now) const;
+    [[nodiscard]] std::map<std::string, std::string> loadedVersions(spurlug::core::Time now) const;
 
     [[nodiscard]] const std::string &role() const noexcept;
 
 private:
-    struct Loading
+    struct LoadedItem
     {
         std::string version;
         spurlug::core::Time readyAt;
@@ -57,7 +57,7 @@
     const spurlug::core::Duration m_loadTime;
     std::uint64_t m_highestEpoch = 0;
     std::string m_role = "mixed";
-    std::map<std::string, Loading> m_loads;
+    std::map<std::string, LoadedItem> m_loadedItems;
 };
 
 } // namespace standins
