--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -24,10 +24,10 @@
 {
 
 constexpr double MicrosPerSecond = 1e6;
-constexpr std::size_t CacheEventsKept = 4096;
-constexpr std::int64_t LongPriority = 100; // Jobs of this or a higher value count as long, not as urgent.
+constexpr std::size_t MaxCacheEvents = 4096;
+constexpr std::int64_t LongJobPriority = 100; // Jobs of this or a higher value count as long, not as urgent.
 
-std::int64_t tokensOf(const std::string &prompt, const EngineCosts &costs)
+std::int64_t countTokens(const std::string &prompt, const EngineCosts &costs)
 {
     const auto bytes = static_cast<std::int64_t>(prompt.size());
     return std::max<std::int64_t>(1, (bytes + costs.bytesPerToken - 1) / costs.bytesPerToken);
@@ -58,23 +58,23 @@
     const auto document = nlohmann::json::parse(file, nullptr, false);
     std::vector<spurlug::core::Fault> faults;
     spurlug::core::ObjectReader reader(document, "", faults);
-    constexpr std::int64_t Most = 1'000'000'000;
+    constexpr std::int64_t MaxValue = 1'000'000'000;
     EngineCosts costs;
-    costs.kvTokens = reader.integer("kvTokens", 1, Most, costs.kvTokens);
-    costs.maxStreams = reader.integer("maxStreams", 1, Most, costs.maxStreams);
-    costs.chunkTokens = reader.integer("chunkTokens", 1, Most, costs.chunkTokens);
-    costs.prefillMicrosPerToken = reader.number("prefillMicrosPerToken", 0, Most, costs.prefillMicrosPerToken);
+    costs.kvTokens = reader.integer("kvTokens", 1, MaxValue, costs.kvTokens);
+    costs.maxStreams = reader.integer("maxStreams", 1, MaxValue, costs.maxStreams);
+    costs.chunkTokens = reader.integer("chunkTokens", 1, MaxValue, costs.chunkTokens);
+    costs.prefillMicrosPerToken = reader.number("prefillMicrosPerToken", 0, MaxValue, costs.prefillMicrosPerToken);
     costs.prefillNanosPerTokenContext
-        = reader.number("prefillNanosPerTokenContext", 0, Most, costs.prefillNanosPerTokenContext);
-    costs.decodeMicrosPerStep = reader.number("decodeMicrosPerStep", 0, Most, costs.decodeMicrosPerStep);
-    costs.decodeMicrosPerStream = reader.number("decodeMicrosPerStream", 0, Most, costs.decodeMicrosPerStream);
-    costs.blockTokens = reader.integer("blockTokens", 1, Most, costs.blockTokens);
-    costs.bytesPerToken = reader.integer("bytesPerToken", 1, Most, costs.bytesPerToken);
-    costs.transferMicrosPerToken = reader.number("transferMicrosPerToken", 0, Most, costs.transferMicrosPerToken);
-    costs.cacheEventLagMs = reader.number("cacheEventLagMs", 0, Most, costs.cacheEventLagMs);
-    costs.loseCacheEvery = reader.integer("loseCacheEvery", 0, Most, costs.loseCacheEvery);
-    costs.timeScale = reader.number("timeScale", 0, Most, costs.timeScale);
-    reader.rejectOthers();
+        = reader.number("prefillNanosPerTokenContext", 0, MaxValue, costs.prefillNanosPerTokenContext);
+    costs.decodeMicrosPerStep = reader.number("decodeMicrosPerStep", 0, MaxValue, costs.decodeMicrosPerStep);
+    costs.decodeMicrosPerStream = reader.number("decodeMicrosPerStream", 0, MaxValue, costs.decodeMicrosPerStream);
+    costs.blockTokens = reader.integer("blockTokens", 1, MaxValue, costs.blockTokens);
+    costs.bytesPerToken = reader.integer("bytesPerToken", 1, MaxValue, costs.bytesPerToken);
+    costs.transferMicrosPerToken = reader.number("transferMicrosPerToken", 0, MaxValue, costs.transferMicrosPerToken);
+    costs.cacheEventLagMs = reader.number("cacheEventLagMs", 0, MaxValue, costs.cacheEventLagMs);
+    costs.cacheEventLossInterval = reader.integer("loseCacheEvery", 0, MaxValue, costs.cacheEventLossInterval);
+    costs.timeScale = reader.number("timeScale", 0, MaxValue, costs.timeScale);
+    reader.rejectUnknownMembers();
     if (!faults.empty()) {
         throw spurlug::core::InvalidDocument(
             core::cat(path, ": ", faults.front().pointer, ": expected ", faults.front().expected));
@@ -84,36 +84,36 @@
 
 EngineModel::EngineModel(EngineCosts costs)
     : m_costs(costs)
-    , m_cacheEvents(absl::Milliseconds(costs.cacheEventLagMs), static_cast<std::uint64_t>(costs.loseCacheEvery),
-                    CacheEventsKept)
+    , m_cacheEvents(absl::Milliseconds(costs.cacheEventLagMs), static_cast<std::uint64_t>(costs.cacheEventLossInterval),
+                    MaxCacheEvents)
 { }
 
-EngineModel::Submission EngineModel::submit(EngineJob request, JobEvents events)
+EngineModel::SubmitResult EngineModel::submit(EngineRequest request, JobCallbacks callbacks)
 {
     if (m_jobs.contains(request.id)) {
-        return Submission::Duplicate;
+        return SubmitResult::Duplicate;
     }
     if (static_cast<std::int64_t>(m_jobs.size()) >= m_costs.maxStreams) {
-        return Submission::Full;
+        return SubmitResult::TooManyRequests;
     }
     if (!request.reservation.empty() && !m_reservations.contains(request.reservation)) {
-        return Submission::NoReservation;
+        return SubmitResult::UnknownReservation;
     }
     auto job = std::make_unique<Job>();
-    job->promptTokens = tokensOf(request.prompt, m_costs);
+    job->promptTokens = countTokens(request.prompt, m_costs);
     if (request.reservation.empty() && job->promptTokens + request.answerTokens > m_costs.kvTokens) {
-        return Submission::TooLarge;
+        return SubmitResult::TooLarge;
     }
     job->blocks = hashBlocks(request.prompt, m_costs);
     job->seed = spurlug::core::fastHash(request.prompt);
     job->nextToken = request.resumeFrom;
     job->request = std::move(request);
     job->request.prompt.clear();
-    job->events = std::move(events);
+    job->callbacks = std::move(callbacks);
     const auto id = job->request.id;
-    m_order.push_back(id);
+    m_arrivalOrder.push_back(id);
     m_jobs[id] = std::move(job);
-    return Submission::Accepted;
+    return SubmitResult::Accepted;
 }
 
 bool EngineModel::cancel(const std::string &id)
@@ -122,7 +122,7 @@
         return false;
     }
     m_jobs.erase(id);
-    m_order.remove(id);
+    m_arrivalOrder.remove(id);
     return true;
 }
 
@@ -133,42 +133,42 @@
         known->second.expiresAt = now + ttl;
         return true;
     }
-    if (used() + tokens > m_costs.kvTokens) {
+    if (usedTokens() + tokens > m_costs.kvTokens) {
         return false;
     }
-    m_reservations[id] = Held{tokens, now + ttl, 0};
-    evict();
+    m_reservations[id] = Reservation{tokens, now + ttl, 0};
+    evictBlocks();
     return true;
 }
 
 bool EngineModel::release(const std::string &id)
 {
-    std::vector<std::string> ended;
+    std::vector<std::string> cancelled;
     for (const auto &[jobId, job] : m_jobs) {
         if (job->request.reservation == id) {
-            ended.push_back(jobId);
+            cancelled.push_back(jobId);
         }
     }
-    std::for_each(ended.begin(), ended.end(), [this](const auto &jobId) { cancel(jobId); });
+    std::for_each(cancelled.begin(), cancelled.end(), [this](const auto &jobId) { cancel(jobId); });
     return m_reservations.erase(id) > 0;
 }
 
-bool EngineModel::addShare(const std::string &reservation, std::int64_t tokens)
+bool EngineModel::addGroupPrefill(const std::string &reservation, std::int64_t tokens)
 {
-    const auto held = m_reservations.find(reservation);
-    if (held == m_reservations.end()) {
+    const auto found = m_reservations.find(reservation);
+    if (found == m_reservations.end()) {
         return false;
     }
-    held->second.shareLeft += tokens;
+    found->second.groupPrefillTokens += tokens;
     return true;
 }
 
 std::optional<KvExport> EngineModel::exportKv(const std::string &jobId, const std::string &exportId, Duration ttl,
                                               Time now)
 {
-    m_now = now;
+    m_lastTime = now;
     const auto job = m_jobs.find(jobId);
-    if (job == m_jobs.end() || job->second->prefilled < job->second->promptTokens) {
+    if (job == m_jobs.end() || job->second->prefilledTokens < job->second->promptTokens) {
         return std::nullopt;
     }
     const auto tokens = job->second->promptTokens;
@@ -180,47 +180,47 @@
 
 Duration EngineModel::importKv(const KvExport &kv, Time now)
 {
-    m_now = now;
-    remember(kv.blocks);
+    m_lastTime = now;
+    cacheBlocks(kv.blocks);
     return absl::Microseconds(static_cast<double>(kv.tokens) * m_costs.transferMicrosPerToken * m_costs.timeScale);
 }
 
 std::vector<CacheEvent> EngineModel::cacheEvents(std::uint64_t after, Time now) const
 {
-    return m_cacheEvents.since(after, now);
+    return m_cacheEvents.eventsAfter(after, now);
 }
 
 Duration EngineModel::step(Time now)
 {
-    m_now = now;
-    expire(now);
+    m_lastTime = now;
+    releaseExpired(now);
     admitWaiting();
     double micros = 0;
     if (auto *job = nextPrefill()) {
         micros += prefillChunk(*job);
     } else {
-        micros += shareChunk();
+        micros += prefillGroupChunk();
     }
-    micros += decodeAll();
+    micros += decodeStep();
     return absl::Microseconds(micros * m_costs.timeScale);
 }
 
-void EngineModel::expire(Time now)
+void EngineModel::releaseExpired(Time now)
 {
-    std::vector<std::string> lapsed;
-    for (const auto &[id, held] : m_reservations) {
-        if (held.expiresAt < now) {
-            lapsed.push_back(id);
+    std::vector<std::string> expired;
+    for (const auto &[id, reservation] : m_reservations) {
+        if (reservation.expiresAt < now) {
+            expired.push_back(id);
         }
     }
-    std::for_each(lapsed.begin(), lapsed.end(), [this](const auto &id) { release(id); });
+    std::for_each(expired.begin(), expired.end(), [this](const auto &id) { release(id); });
 }
 
 void EngineModel::admitWaiting()
 {
     std::vector<Job *> waiting;
-    for (const auto &id : m_order) {
-        if (auto &job = m_jobs.at(id); !job->admitted) {
+    for (const auto &id : m_arrivalOrder) {
+        if (auto &job = m_jobs.at(id); !job->isAdmitted) {
             waiting.push_back(job.get());
         }
     }
@@ -238,59 +238,59 @@
 {
     if (job.request.reservation.empty()) {
         const auto needed = job.promptTokens + job.request.answerTokens;
-        if (used() + needed > m_costs.kvTokens) {
+        if (usedTokens() + needed > m_costs.kvTokens) {
             return false;
         }
-        job.held = needed;
-        evict();
+        job.allocatedTokens = needed;
+        evictBlocks();
     }
-    job.prefilled = cachedPrefix(job);
-    job.admitted = true;
+    job.prefilledTokens = cachedPrefixTokens(job);
+    job.isAdmitted = true;
     return true;
 }
 
-std::int64_t EngineModel::used() const
+std::int64_t EngineModel::usedTokens() const
 {
     std::int64_t tokens = 0;
     for (const auto &[id, job] : m_jobs) {
-        tokens += job->held;
+        tokens += job->allocatedTokens;
     }
-    for (const auto &[id, held] : m_reservations) {
-        tokens += held.tokens;
+    for (const auto &[id, reservation] : m_reservations) {
+        tokens += reservation.tokens;
     }
     return tokens;
 }
 
-void EngineModel::evict()
+void EngineModel::evictBlocks()
 {
-    const auto room = std::max<std::int64_t>(0, m_costs.kvTokens - used());
-    while (static_cast<std::int64_t>(m_cache.size()) * m_costs.blockTokens > room) {
-        m_cacheEvents.add(CacheEventKind::Evicted, m_cacheOrder.front(), m_now);
-        m_cache.erase(m_cacheOrder.front());
+    const auto availableTokens = std::max<std::int64_t>(0, m_costs.kvTokens - usedTokens());
+    while (static_cast<std::int64_t>(m_cachedBlocks.size()) * m_costs.blockTokens > availableTokens) {
+        m_cacheEvents.add(CacheEventKind::Evicted, m_cacheOrder.front(), m_lastTime);
+        m_cachedBlocks.erase(m_cacheOrder.front());
         m_cacheOrder.pop_front();
     }
 }
 
-void EngineModel::remember(const std::vector<std::uint64_t> &blocks)
+void EngineModel::cacheBlocks(const std::vector<std::uint64_t> &blocks)
 {
     for (const auto block : blocks) {
-        const auto known = m_cache.find(block);
-        if (known != m_cache.end()) {
+        const auto known = m_cachedBlocks.find(block);
+        if (known != m_cachedBlocks.end()) {
             m_cacheOrder.erase(known->second);
         } else {
-            m_cacheEvents.add(CacheEventKind::Stored, block, m_now);
+            m_cacheEvents.add(CacheEventKind::Stored, block, m_lastTime);
         }
         m_cacheOrder.push_back(block);
-        m_cache[block] = std::prev(m_cacheOrder.end());
+        m_cachedBlocks[block] = std::prev(m_cacheOrder.end());
     }
-    evict();
+    evictBlocks();
 }
 
-std::int64_t EngineModel::cachedPrefix(const Job &job) const
+std::int64_t EngineModel::cachedPrefixTokens(const Job &job) const
 {
     std::int64_t tokens = 0;
     for (const auto block : job.blocks) {
-        if (!m_cache.contains(block)) {
+        if (!m_cachedBlocks.contains(block)) {
             break;
         }
         tokens += m_costs.blockTokens;
@@ -301,9 +301,9 @@
 EngineModel::Job *EngineModel::nextPrefill()
 {
     Job *best = nullptr;
-    for (const auto &id : m_order) {
+    for (const auto &id : m_arrivalOrder) {
         auto *job = m_jobs.at(id).get();
-        const bool prefilling = job->admitted && job->prefilled < job->promptTokens;
+        const bool prefilling = job->isAdmitted && job->prefilledTokens < job->promptTokens;
         if (prefilling && (best == nullptr || job->request.priority < best->request.priority)) {
             best = job;
         }
@@ -313,49 +313,49 @@
 
 double EngineModel::prefillChunk(Job &job)
 {
-    const auto share = std::max(1, job.request.group);
-    const auto chunk = std::min(m_costs.chunkTokens * share, job.promptTokens - job.prefilled);
-    const double context = static_cast<double>(job.prefilled) + static_cast<double>(chunk) / 2;
+    const auto share = std::max(1, job.request.groupSize);
+    const auto chunk = std::min(m_costs.chunkTokens * share, job.promptTokens - job.prefilledTokens);
+    const double context = static_cast<double>(job.prefilledTokens) + static_cast<double>(chunk) / 2;
     const double perToken = m_costs.prefillMicrosPerToken + m_costs.prefillNanosPerTokenContext * context / 1000;
-    job.prefilled += chunk;
-    if (job.prefilled == job.promptTokens) {
-        remember(job.blocks);
+    job.prefilledTokens += chunk;
+    if (job.prefilledTokens == job.promptTokens) {
+        cacheBlocks(job.blocks);
     }
     return static_cast<double>(chunk) * perToken / share;
 }
 
 /// Computes one chunk of a group's prefill as a member, which is thus busy about as long as the leader. Only the leader
 /// counts the costs that depend on the context.
-double EngineModel::shareChunk()
+double EngineModel::prefillGroupChunk()
 {
-    for (auto &[id, held] : m_reservations) {
-        if (held.shareLeft > 0) {
-            const auto chunk = std::min(m_costs.chunkTokens, held.shareLeft);
-            held.shareLeft -= chunk;
+    for (auto &[id, reservation] : m_reservations) {
+        if (reservation.groupPrefillTokens > 0) {
+            const auto chunk = std::min(m_costs.chunkTokens, reservation.groupPrefillTokens);
+            reservation.groupPrefillTokens -= chunk;
             return static_cast<double>(chunk) * m_costs.prefillMicrosPerToken;
         }
     }
     return 0;
 }
 
-double EngineModel::decodeAll()
+double EngineModel::decodeStep()
 {
-    std::vector<std::string> done;
+    std::vector<std::string> finishedIds;
     std::int64_t decoding = 0;
     for (auto &[id, job] : m_jobs) {
-        if (!job->admitted || job->prefilled < job->promptTokens) {
+        if (!job->isAdmitted || job->prefilledTokens < job->promptTokens) {
             continue;
         }
         ++decoding;
         if (job->nextToken < job->request.answerTokens) {
             const auto offset = job->nextToken++;
-            job->events.token(offset, answerWord(job->seed, offset));
+            job->callbacks.token(offset, answerWord(job->seed, offset));
         }
         if (job->nextToken >= job->request.answerTokens) {
-            done.push_back(id);
+            finishedIds.push_back(id);
         }
     }
-    std::for_each(done.begin(), done.end(), [this](const auto &id) { finish(id); });
+    std::for_each(finishedIds.begin(), finishedIds.end(), [this](const auto &id) { finish(id); });
     if (decoding == 0) {
         return 0;
     }
@@ -366,25 +366,25 @@
 {
     const auto job = std::move(m_jobs.at(id));
     cancel(id);
-    job->events.finished(job->promptTokens, job->request.answerTokens);
+    job->callbacks.finished(job->promptTokens, job->request.answerTokens);
 }
 
 EngineLoad EngineModel::load() const
 {
     EngineLoad load;
     for (const auto &[id, job] : m_jobs) {
-        const auto left = (job->promptTokens - job->prefilled) / std::max(1, job->request.group);
-        load.queuedTokens += left;
-        load.urgentTokens += job->request.priority < LongPriority ? left : 0;
+        const auto remainingTokens = (job->promptTokens - job->prefilledTokens) / std::max(1, job->request.groupSize);
+        load.queuedTokens += remainingTokens;
+        load.urgentTokens += job->request.priority < LongJobPriority ? remainingTokens : 0;
     }
-    for (const auto &[id, held] : m_reservations) {
-        load.reservedTokens += held.tokens;
-        load.queuedTokens += held.shareLeft;
+    for (const auto &[id, reservation] : m_reservations) {
+        load.reservedTokens += reservation.tokens;
+        load.queuedTokens += reservation.groupPrefillTokens;
     }
     load.reservations = static_cast<std::int64_t>(m_reservations.size());
     load.streams = static_cast<std::int64_t>(m_jobs.size());
-    load.freeTokens = m_costs.kvTokens - used();
-    load.cachedTokens = static_cast<std::int64_t>(m_cache.size()) * m_costs.blockTokens;
+    load.freeTokens = m_costs.kvTokens - usedTokens();
+    load.cachedTokens = static_cast<std::int64_t>(m_cachedBlocks.size()) * m_costs.blockTokens;
     load.prefillRate = MicrosPerSecond / (m_costs.prefillMicrosPerToken * std::max(m_costs.timeScale, 1e-6));
     return load;
 }
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -38,7 +38,7 @@
     std::int64_t bytesPerToken = 4;
     double transferMicrosPerToken = 1; ///< Cost of KV memory imported from another engine.
     double cacheEventLagMs = 200; ///< Age from which on cache events are returned.
-    std::int64_t loseCacheEvery = 50; ///< Interval of lost cache events (50: every 50th); 0: none is lost.
+    std::int64_t cacheEventLossInterval = 50; ///< Interval of lost cache events (50: every 50th); 0: none is lost.
     double timeScale = 1.0; ///< Factor of all times; below 1 the engine is faster than the costs say.
 };
 
@@ -50,7 +50,7 @@
 [[nodiscard]] std::string answerWord(std::uint64_t seed, std::int64_t offset);
 
 /// \brief A generation request to the engine.
-struct EngineJob
+struct EngineRequest
 {
     std::string id;
     std::int64_t priority = 0; ///< Lower values are served first.
@@ -58,11 +58,11 @@
     std::int64_t answerTokens = 64;
     std::int64_t resumeFrom = 0; ///< Number of tokens that the caller already has.
     std::string reservation; ///< Id of a KV memory reservation made before; empty: none.
-    int group = 1; ///< Number of engines that share the prefill.
+    int groupSize = 1; ///< Number of engines that share the prefill.
 };
 
 /// \brief Callbacks of a job, called from EngineModel::step().
-struct JobEvents
+struct JobCallbacks
 {
     std::function<void(std::int64_t offset, const std::string &text)> token;
     std::function<void(std::int64_t promptTokens, std::int64_t answerTokens)> finished;
@@ -98,15 +98,15 @@
 
     /// \name Commands
     /// @{
-    enum class Submission
+    enum class SubmitResult
     {
         Accepted,
-        Full, ///< The engine holds EngineCosts::maxStreams requests already.
+        TooManyRequests, ///< The engine holds EngineCosts::maxStreams requests already.
         TooLarge, ///< The request exceeds the engine's whole KV memory.
-        NoReservation, ///< The reservation is unknown.
+        UnknownReservation, ///< The reservation is unknown.
         Duplicate, ///< A request with the same id is in progress.
     };
-    Submission submit(EngineJob job, JobEvents events);
+    SubmitResult submit(EngineRequest request, JobCallbacks callbacks);
     /// \brief Cancels a job. \returns False if there is no such job.
     bool cancel(const std::string &id);
     /// \brief Reserves KV memory, or extends the reservation of this id. \returns False if there is not enough memory.
@@ -115,7 +115,7 @@
     bool release(const std::string &id);
     /// \brief Adds prompt tokens that this engine prefills for the leader of a group.
     /// \returns False if there is no such reservation.
-    bool addShare(const std::string &reservation, std::int64_t tokens);
+    bool addGroupPrefill(const std::string &reservation, std::int64_t tokens);
     /// \brief Keeps a request's computed KV memory for another engine until `ttl` has passed.
     /// \returns Nothing if there is no such request, its prefill is not finished, or the memory does not suffice.
     std::optional<KvExport> exportKv(const std::string &jobId, const std::string &exportId, Duration ttl, Time now);
@@ -135,44 +135,44 @@
 private:
     struct Job
     {
-        EngineJob request;
-        JobEvents events;
+        EngineRequest request;
+        JobCallbacks callbacks;
         std::int64_t promptTokens = 0;
-        std::int64_t prefilled = 0;
+        std::int64_t prefilledTokens = 0;
         std::int64_t nextToken = 0;
-        std::int64_t held = 0; ///< KV tokens in use, without those of a reservation.
-        bool admitted = false;
+        std::int64_t allocatedTokens = 0; ///< KV tokens in use, without those of a reservation.
+        bool isAdmitted = false;
         std::vector<std::uint64_t> blocks;
         std::uint64_t seed = 0;
     };
-    struct Held
+    struct Reservation
     {
         std::int64_t tokens = 0;
         Time expiresAt;
-        std::int64_t shareLeft = 0; ///< Prompt tokens still to be prefilled for the leader of a group.
+        std::int64_t groupPrefillTokens = 0; ///< Prompt tokens still to be prefilled for the leader of a group.
     };
 
-    void expire(Time now);
+    void releaseExpired(Time now);
     void admitWaiting();
     [[nodiscard]] bool tryAdmit(Job &job);
-    [[nodiscard]] std::int64_t used() const;
-    void evict();
-    void remember(const std::vector<std::uint64_t> &blocks);
-    [[nodiscard]] std::int64_t cachedPrefix(const Job &job) const;
+    [[nodiscard]] std::int64_t usedTokens() const;
+    void evictBlocks();
+    void cacheBlocks(const std::vector<std::uint64_t> &blocks);
+    [[nodiscard]] std::int64_t cachedPrefixTokens(const Job &job) const;
     Job *nextPrefill();
     double prefillChunk(Job &job);
-    double shareChunk();
-    double decodeAll();
+    double prefillGroupChunk();
+    double decodeStep();
     void finish(const std::string &id);
 
     EngineCosts m_costs;
-    Time m_now = absl::UnixEpoch(); ///< Time of the last step(), exportKv() or importKv().
+    Time m_lastTime = absl::UnixEpoch(); ///< Time of the last step(), exportKv() or importKv().
     CacheEvents m_cacheEvents;
     std::map<std::string, std::unique_ptr<Job>> m_jobs;
-    std::list<std::string> m_order; ///< Job ids in order of arrival.
-    std::map<std::string, Held> m_reservations;
+    std::list<std::string> m_arrivalOrder; ///< Job ids in order of arrival.
+    std::map<std::string, Reservation> m_reservations;
     std::list<std::uint64_t> m_cacheOrder; ///< Hashes of the cached blocks, least recently used first.
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_cache;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_cachedBlocks;
 };
 
 } // namespace standins
--- a/standins/fault_proxy.cpp
+++ b/standins/fault_proxy.cpp
@@ -33,7 +33,7 @@
 using asio::ip::udp;
 
 constexpr std::size_t BufferBytes = 65536;
-constexpr std::int64_t Never = -1;
+constexpr std::int64_t Disabled = -1;
 
 /// Faults that the proxy injects; set by `POST /faults` and read whenever data is forwarded.
 struct FaultSettings
@@ -42,8 +42,8 @@
     bool refuse = false; ///< New connections are closed at once, open ones are reset, datagrams are dropped.
     bool dropToTarget = false; ///< Data sent to the target is dropped.
     bool dropToCaller = false; ///< Data sent to the caller is dropped.
-    std::int64_t resetAfter = Never; ///< Number of bytes to the caller after which the connection is reset.
-    std::int64_t stallAfter = Never; ///< Number of bytes to the caller after which nothing more is forwarded to it.
+    std::int64_t resetAfter = Disabled; ///< Number of bytes to the caller after which the connection is reset.
+    std::int64_t stallAfter = Disabled; ///< Number of bytes to the caller after which nothing more is forwarded to it.
     bool loseAnswer = false; ///< The connection is reset when the target sends its first byte.
     bool duplicate = false; ///< Each datagram is sent twice.
     bool reorder = false; ///< The two datagrams of each pair are swapped.
@@ -79,27 +79,27 @@
 };
 
 /// A proxied TCP connection.
-class Link : public std::enable_shared_from_this<Link>
+class ProxiedConnection : public std::enable_shared_from_this<ProxiedConnection>
 {
 public:
-    Link(tcp::socket caller, tcp::endpoint target, const Faults &faults)
+    ProxiedConnection(tcp::socket caller, tcp::endpoint target, const Faults &faults)
         : m_caller(std::move(caller))
         , m_target(m_caller.get_executor())
-        , m_watch(m_caller.get_executor())
-        , m_endpoint(std::move(target))
+        , m_refusalTimer(m_caller.get_executor())
+        , m_targetEndpoint(std::move(target))
         , m_faults(faults)
     { }
 
     void start()
     {
-        m_target.async_connect(m_endpoint, [self = shared_from_this()](const auto &error) {
+        m_target.async_connect(m_targetEndpoint, [self = shared_from_this()](const auto &error) {
             if (error) {
                 self->reset();
                 return;
             }
             self->read(self->m_caller, self->m_target, self->m_toTarget, false);
             self->read(self->m_target, self->m_caller, self->m_toCaller, true);
-            self->watch();
+            self->checkForRefusal();
         });
     }
 
@@ -107,10 +107,10 @@
     using Buffer = std::vector<char>;
 
     /// Resets the connection once FaultSettings::refuse is set.
-    void watch()
+    void checkForRefusal()
     {
-        m_watch.expires_after(std::chrono::milliseconds(10));
-        m_watch.async_wait([self = shared_from_this()](const auto &error) {
+        m_refusalTimer.expires_after(std::chrono::milliseconds(10));
+        m_refusalTimer.async_wait([self = shared_from_this()](const auto &error) {
             if (error || !self->m_caller.is_open()) {
                 return;
             }
@@ -118,7 +118,7 @@
                 self->reset();
                 return;
             }
-            self->watch();
+            self->checkForRefusal();
         });
     }
 
@@ -130,7 +130,7 @@
                 if (error) {
                     boost::system::error_code ignored;
                     to.shutdown(tcp::socket::shutdown_send, ignored);
-                    finishSide();
+                    finishDirection();
                     return;
                 }
                 forward(from, to, buffer, size, towardsCaller);
@@ -149,11 +149,11 @@
             return;
         }
         if (towardsCaller) {
-            m_sentToCaller += static_cast<std::int64_t>(size);
-            if (faults.stallAfter != Never && m_sentToCaller > faults.stallAfter) {
+            m_bytesToCaller += static_cast<std::int64_t>(size);
+            if (faults.stallAfter != Disabled && m_bytesToCaller > faults.stallAfter) {
                 return;
             }
-            if (faults.resetAfter != Never && m_sentToCaller > faults.resetAfter) {
+            if (faults.resetAfter != Disabled && m_bytesToCaller > faults.resetAfter) {
                 reset();
                 return;
             }
@@ -173,17 +173,17 @@
             });
     }
 
-    void finishSide()
+    void finishDirection()
     {
-        if (++m_finishedSides == 2) {
-            m_watch.cancel();
+        if (++m_finishedDirections == 2) {
+            m_refusalTimer.cancel();
         }
     }
 
     void reset()
     {
         boost::system::error_code ignored;
-        m_watch.cancel();
+        m_refusalTimer.cancel();
         for (auto *socket : {&m_caller, &m_target}) {
             if (socket->is_open()) {
                 socket->set_option(asio::socket_base::linger(true, 0), ignored);
@@ -194,13 +194,13 @@
 
     tcp::socket m_caller;
     tcp::socket m_target;
-    asio::steady_timer m_watch;
-    tcp::endpoint m_endpoint;
+    asio::steady_timer m_refusalTimer;
+    tcp::endpoint m_targetEndpoint;
     const Faults &m_faults;
     Buffer m_toTarget = Buffer(BufferBytes);
     Buffer m_toCaller = Buffer(BufferBytes);
-    std::int64_t m_sentToCaller = 0;
-    int m_finishedSides = 0;
+    std::int64_t m_bytesToCaller = 0;
+    int m_finishedDirections = 0;
 };
 
 class TcpProxy
@@ -224,7 +224,7 @@
     {
         m_acceptor.async_accept([this](const auto &error, tcp::socket socket) {
             if (!error && !m_faults.current().refuse) {
-                std::make_shared<Link>(std::move(socket), m_target, m_faults)->start();
+                std::make_shared<ProxiedConnection>(std::move(socket), m_target, m_faults)->start();
             }
             accept();
         });
@@ -256,7 +256,7 @@
 private:
     void receive()
     {
-        m_socket.async_receive_from(asio::buffer(m_buffer), m_from, [this](const auto &error, std::size_t size) {
+        m_socket.async_receive_from(asio::buffer(m_buffer), m_sender, [this](const auto &error, std::size_t size) {
             if (!error) {
                 forward(std::string(m_buffer.data(), size));
             }
@@ -270,16 +270,16 @@
         if (faults.refuse || faults.dropToTarget) {
             return;
         }
-        if (faults.reorder && m_held.empty()) {
-            m_held = datagram;
+        if (faults.reorder && m_heldDatagram.empty()) {
+            m_heldDatagram = datagram;
             return;
         }
         send(datagram, faults.delayMs);
         if (faults.duplicate) {
             send(datagram, faults.delayMs);
         }
-        if (!m_held.empty()) {
-            send(std::exchange(m_held, {}), faults.delayMs);
+        if (!m_heldDatagram.empty()) {
+            send(std::exchange(m_heldDatagram, {}), faults.delayMs);
         }
     }
 
@@ -295,10 +295,10 @@
 
     udp::socket m_socket;
     udp::endpoint m_target;
-    udp::endpoint m_from;
+    udp::endpoint m_sender;
     const Faults &m_faults;
     std::vector<char> m_buffer = std::vector<char>(BufferBytes);
-    std::string m_held;
+    std::string m_heldDatagram;
 };
 
 int run(const core::Address &target, const std::string &portsFile)
@@ -339,15 +339,16 @@
     description.add_options()("help,h", "show this text")("target", options::value<std::string>(), "HOST:PORT")(
         "ports-file", options::value<std::string>()->default_value(""), "write the bound addresses to this file");
     try {
-        options::variables_map given;
-        options::store(options::parse_command_line(argc, argv, description), given);
-        if (given.contains("help") || !given.contains("target")) {
+        options::variables_map arguments;
+        options::store(options::parse_command_line(argc, argv, description), arguments);
+        if (arguments.contains("help") || !arguments.contains("target")) {
             std::cout << description << "\n";
-            return given.contains("help") ? core::ExitOk : core::ExitUsage;
+            return arguments.contains("help") ? core::ExitOk : core::ExitUsage;
         }
         core::blockStopSignals();
         core::startLog("fault-proxy", core::LogLevel::Warning);
-        return run(core::parseAddress(given["target"].as<std::string>()), given["ports-file"].as<std::string>());
+        return run(core::parseAddress(arguments["target"].as<std::string>()),
+                   arguments["ports-file"].as<std::string>());
     } catch (const std::exception &error) {
         std::cerr << "fault-proxy: " << error.what() << "\n";
         return core::ExitUsage;
--- a/standins/object_store.cpp
+++ b/standins/object_store.cpp
@@ -17,32 +17,32 @@
     return found == m_objects.end() ? std::nullopt : std::optional(found->second);
 }
 
-std::optional<StoredObject> ObjectStore::waitAbove(const std::string &name, std::int64_t after,
-                                                   spurlug::core::Duration wait) const
+std::optional<StoredObject> ObjectStore::awaitNewer(const std::string &name, std::int64_t after,
+                                                    spurlug::core::Duration timeout) const
 {
     const auto changed = [&]() ABSL_NO_THREAD_SAFETY_ANALYSIS { return versionOf(name) > after; };
     absl::MutexLock lock(&m_mutex);
-    if (!m_mutex.AwaitWithTimeout(absl::Condition(&changed), wait)) {
+    if (!m_mutex.AwaitWithTimeout(absl::Condition(&changed), timeout)) {
         return std::nullopt;
     }
     return m_objects.at(name);
 }
 
 std::optional<std::int64_t> ObjectStore::update(const std::string &name, const std::string &value,
-                                                std::optional<std::int64_t> expected)
+                                                std::optional<std::int64_t> expectedVersion)
 {
     absl::MutexLock lock(&m_mutex);
-    if (expected && versionOf(name) != *expected) {
+    if (expectedVersion && versionOf(name) != *expectedVersion) {
         return std::nullopt;
     }
     m_objects[name] = StoredObject{value, ++m_lastVersion};
     return m_lastVersion;
 }
 
-bool ObjectStore::remove(const std::string &name, std::optional<std::int64_t> expected)
+bool ObjectStore::remove(const std::string &name, std::optional<std::int64_t> expectedVersion)
 {
     absl::MutexLock lock(&m_mutex);
-    if (expected && versionOf(name) != *expected) {
+    if (expectedVersion && versionOf(name) != *expectedVersion) {
         return false;
     }
     m_objects.erase(name);
--- a/standins/object_store.h
+++ b/standins/object_store.h
@@ -34,18 +34,18 @@
     /// \brief Waits until an object's version is above `after`.
     /// \param wait Maximum time to wait.
     /// \returns The object, or nothing on timeout.
-    [[nodiscard]] std::optional<StoredObject> waitAbove(const std::string &name, std::int64_t after,
-                                                        spurlug::core::Duration wait) const
+    [[nodiscard]] std::optional<StoredObject> awaitNewer(const std::string &name, std::int64_t after,
+                                                         spurlug::core::Duration timeout) const
         ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Stores a value if the object's version is `expected` (0: the object does not exist), or always if unset.
     /// \returns The new version, or nothing if the version differs.
     std::optional<std::int64_t> update(const std::string &name, const std::string &value,
-                                       std::optional<std::int64_t> expected) ABSL_LOCKS_EXCLUDED(m_mutex);
+                                       std::optional<std::int64_t> expectedVersion) ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Removes an object if its version is `expected`, or always if unset. \returns False if the version
     /// differs.
-    bool remove(const std::string &name, std::optional<std::int64_t> expected) ABSL_LOCKS_EXCLUDED(m_mutex);
+    bool remove(const std::string &name, std::optional<std::int64_t> expectedVersion) ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Returns the names of all objects whose name starts with `prefix`.
     [[nodiscard]] std::vector<std::string> names(const std::string &prefix) const ABSL_LOCKS_EXCLUDED(m_mutex);
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -31,37 +31,38 @@
 constexpr int NotFound = 404;
 constexpr int Conflict = 409;
 constexpr int TooLarge = 413;
-constexpr int TooMany = 429;
+constexpr int TooManyRequests = 429;
 constexpr int InternalError = 500;
 constexpr int Unavailable = 503;
-constexpr std::size_t LargestValue = 1U << 20;
-constexpr auto LongestWatch = absl::Seconds(60);
+constexpr std::size_t MaxValueBytes = 1U << 20;
+constexpr auto MaxWatchTime = absl::Seconds(60);
 
 /// Faults that tests set by `POST /standin/faults`.
 struct Faults
 {
-    std::atomic<bool> down{false};
-    std::atomic<int> slowMs{0};
-    std::atomic<int> loseAnswers{0}; ///< Number of further updates that are processed but whose response is cut off.
+    std::atomic<bool> isDown{false};
+    std::atomic<int> delayMs{0};
+    std::atomic<int> responsesToCutOff{
+        0}; ///< Number of further updates that are processed but whose response is cut off.
 };
 
-std::int64_t number(const std::string &text, std::int64_t fallback)
+std::int64_t parseNumber(const std::string &text, std::int64_t fallback)
 {
     std::int64_t value = fallback;
-    return core::readNumber(text, value) ? value : fallback;
+    return core::parseInteger(text, value) ? value : fallback;
 }
 
 /// The object API, VM list and weight store over HTTP, with rate limits and faults.
 class Platform
 {
 public:
-    Platform(double readsPerSecond, double writesPerSecond, core::Duration vmListLag, double weightBytesPerSecond)
-        : m_vmListLag(vmListLag)
+    Platform(double readsPerSecond, double writesPerSecond, core::Duration maxVmListAge, double weightBytesPerSecond)
+        : m_maxVmListAge(maxVmListAge)
     {
         const auto now = core::now();
-        m_reads.setRate(readsPerSecond, readsPerSecond, now);
-        m_writes.setRate(writesPerSecond, writesPerSecond, now);
-        m_weights.setRate(weightBytesPerSecond, weightBytesPerSecond, now);
+        m_readLimiter.setRate(readsPerSecond, readsPerSecond, now);
+        m_writeLimiter.setRate(writesPerSecond, writesPerSecond, now);
+        m_weightLimiter.setRate(weightBytesPerSecond, weightBytesPerSecond, now);
     }
 
     void configure(httplib::Server &server)
@@ -87,25 +88,26 @@
         server.Get("/standin/stats", [this](const auto &, auto &response) {
             const nlohmann::json stats{{"reads", m_readCount.load()},
                                        {"writes", m_writeCount.load()},
-                                       {"watching", m_watching.load()},
-                                       {"limited", m_limited.load()}};
+                                       {"watching", m_watchCount.load()},
+                                       {"limited", m_rateLimitedCount.load()}};
             response.set_content(stats.dump(), "application/json");
         });
     }
 
 private:
-    bool admit(spurlug::limits::TokenBucket &bucket, std::atomic<std::int64_t> &count, httplib::Response &response)
+    bool admitRequest(spurlug::limits::TokenBucket &bucket, std::atomic<std::int64_t> &count,
+                      httplib::Response &response)
     {
         ++count;
-        absl::SleepFor(core::fromMs(m_faults.slowMs));
-        if (m_faults.down) {
+        absl::SleepFor(core::fromMs(m_faults.delayMs));
+        if (m_faults.isDown) {
             response.status = Unavailable;
             return false;
         }
         absl::MutexLock lock(&m_mutex);
         if (!bucket.take(1, core::now())) {
-            ++m_limited;
-            response.status = TooMany;
+            ++m_rateLimitedCount;
+            response.status = TooManyRequests;
             return false;
         }
         return true;
@@ -113,13 +115,13 @@
 
     bool admitRead(httplib::Response &response)
     {
-        return admit(m_reads, m_readCount, response);
+        return admitRequest(m_readLimiter, m_readCount, response);
     }
 
-    static void answer(const std::optional<StoredObject> &object, int otherwise, httplib::Response &response)
+    static void sendObject(const std::optional<StoredObject> &object, int statusIfMissing, httplib::Response &response)
     {
         if (!object) {
-            response.status = otherwise;
+            response.status = statusIfMissing;
             return;
         }
         response.set_header("Object-Version", std::to_string(object->version));
@@ -133,35 +135,36 @@
         }
         const auto name = request.matches[1].str();
         if (!request.has_param("after")) {
-            answer(m_objects.read(name), NotFound, response);
+            sendObject(m_objects.read(name), NotFound, response);
             return;
         }
-        ++m_watching;
-        const auto until = core::now()
-            + std::min(core::fromMs(number(request.get_param_value("waitMs"), 0)), core::Duration(LongestWatch));
-        const auto after = number(request.get_param_value("after"), 0);
+        ++m_watchCount;
+        const auto deadline = core::now()
+            + std::min(core::fromMs(parseNumber(request.get_param_value("waitMs"), 0)), core::Duration(MaxWatchTime));
+        const auto after = parseNumber(request.get_param_value("after"), 0);
         std::optional<StoredObject> object;
-        constexpr auto Slice = absl::Milliseconds(200); // Interval at which a watch checks Faults::down.
-        while (!object && core::now() < until && !m_faults.down) {
-            object = m_objects.waitAbove(name, after, std::min(core::Duration(Slice), until - core::now()));
+        constexpr auto OutageCheckInterval = absl::Milliseconds(200); // Interval at which a watch checks Faults::down.
+        while (!object && core::now() < deadline && !m_faults.isDown) {
+            object = m_objects.awaitNewer(name, after,
+                                          std::min(core::Duration(OutageCheckInterval), deadline - core::now()));
         }
-        --m_watching;
-        answer(object, m_faults.down ? Unavailable : NotModified, response);
+        --m_watchCount;
+        sendObject(object, m_faults.isDown ? Unavailable : NotModified, response);
     }
 
     static std::optional<std::int64_t> expectedVersion(const httplib::Request &request)
     {
-        return request.has_header("If-Version") ? std::optional(number(request.get_header_value("If-Version"), -1))
+        return request.has_header("If-Version") ? std::optional(parseNumber(request.get_header_value("If-Version"), -1))
                                                 : std::nullopt;
     }
 
-    /// Cuts off the response of a processed update while Faults::loseAnswers is above zero, and counts it down.
-    bool loseAnswer(httplib::Response &response)
+    /// Cuts off the response of a processed update while Faults::responsesToCutOff is above zero, and counts it down.
+    bool cutOffResponse(httplib::Response &response)
     {
-        if (m_faults.loseAnswers <= 0) {
+        if (m_faults.responsesToCutOff <= 0) {
             return false;
         }
-        --m_faults.loseAnswers;
+        --m_faults.responsesToCutOff;
         response.status = InternalError;
         response.set_content_provider(1, "text/plain",
                                       [](std::size_t, std::size_t, httplib::DataSink &) { return false; });
@@ -170,16 +173,16 @@
 
     void update(const httplib::Request &request, httplib::Response &response)
     {
-        if (!admit(m_writes, m_writeCount, response)) {
+        if (!admitRequest(m_writeLimiter, m_writeCount, response)) {
             return;
         }
-        if (request.body.size() > LargestValue) {
+        if (request.body.size() > MaxValueBytes) {
             response.status = TooLarge;
             return;
         }
         const auto name = request.matches[1].str();
         const auto version = m_objects.update(name, request.body, expectedVersion(request));
-        if (loseAnswer(response)) {
+        if (cutOffResponse(response)) {
             return;
         }
         if (!version) {
@@ -191,7 +194,7 @@
 
     void remove(const httplib::Request &request, httplib::Response &response)
     {
-        if (admit(m_writes, m_writeCount, response)
+        if (admitRequest(m_writeLimiter, m_writeCount, response)
             && !m_objects.remove(request.matches[1].str(), expectedVersion(request))) {
             response.status = Conflict;
         }
@@ -218,22 +221,22 @@
         }
         const auto now = core::now();
         absl::MutexLock lock(&m_mutex);
-        if (now - m_shownAt >= m_vmListLag) {
-            m_shown = nlohmann::json::array();
+        if (now - m_vmListTime >= m_maxVmListAge) {
+            m_vmList = nlohmann::json::array();
             for (const auto &[id, vm] : m_vms) {
-                m_shown.push_back(vm);
+                m_vmList.push_back(vm);
             }
-            m_shownAt = now;
+            m_vmListTime = now;
         }
-        response.set_content(m_shown.dump(), "application/json");
+        response.set_content(m_vmList.dump(), "application/json");
     }
 
     void sendWeights(const httplib::Request &request, httplib::Response &response)
     {
-        const auto bytes = number(request.matches[1].str(), 0);
+        const auto bytes = parseNumber(request.matches[1].str(), 0);
         absl::MutexLock lock(&m_mutex);
-        if (!m_weights.take(static_cast<double>(bytes), core::now())) {
-            response.status = TooMany;
+        if (!m_weightLimiter.take(static_cast<double>(bytes), core::now())) {
+            response.status = TooManyRequests;
         }
     }
 
@@ -244,25 +247,25 @@
             response.status = Conflict;
             return;
         }
-        m_faults.down = faults.value("down", m_faults.down.load());
-        m_faults.slowMs = faults.value("slowMs", m_faults.slowMs.load());
-        m_faults.loseAnswers = faults.value("loseAnswers", m_faults.loseAnswers.load());
+        m_faults.isDown = faults.value("down", m_faults.isDown.load());
+        m_faults.delayMs = faults.value("slowMs", m_faults.delayMs.load());
+        m_faults.responsesToCutOff = faults.value("loseAnswers", m_faults.responsesToCutOff.load());
     }
 
     ObjectStore m_objects;
     Faults m_faults;
-    const core::Duration m_vmListLag;
+    const core::Duration m_maxVmListAge;
     std::atomic<std::int64_t> m_readCount{0};
     std::atomic<std::int64_t> m_writeCount{0};
-    std::atomic<std::int64_t> m_limited{0};
-    std::atomic<std::int64_t> m_watching{0};
+    std::atomic<std::int64_t> m_rateLimitedCount{0};
+    std::atomic<std::int64_t> m_watchCount{0};
     absl::Mutex m_mutex;
-    spurlug::limits::TokenBucket m_reads ABSL_GUARDED_BY(m_mutex);
-    spurlug::limits::TokenBucket m_writes ABSL_GUARDED_BY(m_mutex);
-    spurlug::limits::TokenBucket m_weights ABSL_GUARDED_BY(m_mutex);
+    spurlug::limits::TokenBucket m_readLimiter ABSL_GUARDED_BY(m_mutex);
+    spurlug::limits::TokenBucket m_writeLimiter ABSL_GUARDED_BY(m_mutex);
+    spurlug::limits::TokenBucket m_weightLimiter ABSL_GUARDED_BY(m_mutex);
     std::map<std::string, nlohmann::json> m_vms ABSL_GUARDED_BY(m_mutex);
-    nlohmann::json m_shown ABSL_GUARDED_BY(m_mutex) = nlohmann::json::array();
-    core::Time m_shownAt ABSL_GUARDED_BY(m_mutex) = absl::InfinitePast();
+    nlohmann::json m_vmList ABSL_GUARDED_BY(m_mutex) = nlohmann::json::array();
+    core::Time m_vmListTime ABSL_GUARDED_BY(m_mutex) = absl::InfinitePast();
 };
 
 } // namespace
@@ -281,21 +284,21 @@
         "weight-bytes-per-second", options::value<double>()->default_value(1e9), "rate limit of the weight store")(
         "ports-file", options::value<std::string>()->default_value(""), "write the bound address to this file");
     try {
-        options::variables_map given;
-        options::store(options::parse_command_line(argc, argv, description), given);
-        if (given.contains("help")) {
+        options::variables_map arguments;
+        options::store(options::parse_command_line(argc, argv, description), arguments);
+        if (arguments.contains("help")) {
             std::cout << description << "\n";
             return core::ExitOk;
         }
         core::blockStopSignals();
         core::startLog("standin-platform", core::LogLevel::Warning);
-        Platform platform(given["reads-per-second"].as<double>(), given["writes-per-second"].as<double>(),
-                          core::fromMs(given["vm-list-lag-ms"].as<std::int64_t>()),
-                          given["weight-bytes-per-second"].as<double>());
-        const spurlug::daemon::HttpListener listener(core::parseAddress(given["listen"].as<std::string>()),
+        Platform platform(arguments["reads-per-second"].as<double>(), arguments["writes-per-second"].as<double>(),
+                          core::fromMs(arguments["vm-list-lag-ms"].as<std::int64_t>()),
+                          arguments["weight-bytes-per-second"].as<double>());
+        const spurlug::daemon::HttpListener listener(core::parseAddress(arguments["listen"].as<std::string>()),
                                                      {1024, 4U << 20},
                                                      [&](httplib::Server &server) { platform.configure(server); });
-        core::writePortsFile(given["ports-file"].as<std::string>(), {{"listen", listener.address().text()}});
+        core::writePortsFile(arguments["ports-file"].as<std::string>(), {{"listen", listener.address().text()}});
         core::waitForStopSignal();
         return core::ExitOk;
     } catch (const std::exception &error) {
--- a/standins/standin_service.cpp
+++ b/standins/standin_service.cpp
@@ -25,7 +25,7 @@
 namespace core = spurlug::core;
 
 /// Counts the runs per `Work-Id` header, so that tests can verify at-most-once execution.
-class RunCounts
+class RunCounter
 {
 public:
     void add(const std::string &workId)
@@ -34,7 +34,7 @@
         ++m_runs[workId];
     }
 
-    [[nodiscard]] nlohmann::json all() const
+    [[nodiscard]] nlohmann::json toJson() const
     {
         absl::MutexLock lock(&m_mutex);
         return m_runs;
@@ -45,9 +45,9 @@
     std::map<std::string, int> m_runs ABSL_GUARDED_BY(m_mutex);
 };
 
-void configure(httplib::Server &server, RunCounts &counts, core::Duration delay)
+void configure(httplib::Server &server, RunCounter &counts, core::Duration delay)
 {
-    const auto work = [&counts, delay](const httplib::Request &request, httplib::Response &response) {
+    const auto handleRequest = [&counts, delay](const httplib::Request &request, httplib::Response &response) {
         counts.add(request.get_header_value("Work-Id"));
         absl::SleepFor(delay);
         const nlohmann::json answer{{"method", request.method},
@@ -58,16 +58,16 @@
         response.set_content(answer.dump(), "application/json");
     };
     server.Get("/standin/runs", [&counts](const auto &, auto &response) {
-        response.set_content(counts.all().dump(), "application/json");
+        response.set_content(counts.toJson().dump(), "application/json");
     });
     server.Get("/teapot", [](const auto &, auto &response) {
         response.status = 418;
         response.set_content("short and stout", "text/plain");
     });
-    server.Get(".*", work);
-    server.Post(".*", work);
-    server.Put(".*", work);
-    server.Delete(".*", work);
+    server.Get(".*", handleRequest);
+    server.Post(".*", handleRequest);
+    server.Put(".*", handleRequest);
+    server.Delete(".*", handleRequest);
 }
 
 } // namespace
@@ -80,20 +80,20 @@
         "HOST:PORT")("delay-ms", options::value<std::int64_t>()->default_value(0), "time that each request takes")(
         "ports-file", options::value<std::string>()->default_value(""), "write the bound address to this file");
     try {
-        options::variables_map given;
-        options::store(options::parse_command_line(argc, argv, description), given);
-        if (given.contains("help")) {
+        options::variables_map arguments;
+        options::store(options::parse_command_line(argc, argv, description), arguments);
+        if (arguments.contains("help")) {
             std::cout << description << "\n";
             return core::ExitOk;
         }
         core::blockStopSignals();
         core::startLog("standin-service", core::LogLevel::Warning);
-        RunCounts counts;
-        const auto delay = core::fromMs(given["delay-ms"].as<std::int64_t>());
+        RunCounter counts;
+        const auto delay = core::fromMs(arguments["delay-ms"].as<std::int64_t>());
         const spurlug::daemon::HttpListener listener(
-            core::parseAddress(given["listen"].as<std::string>()), {128, 16U << 20},
+            core::parseAddress(arguments["listen"].as<std::string>()), {128, 16U << 20},
             [&](httplib::Server &server) { configure(server, counts, delay); });
-        core::writePortsFile(given["ports-file"].as<std::string>(), {{"listen", listener.address().text()}});
+        core::writePortsFile(arguments["ports-file"].as<std::string>(), {{"listen", listener.address().text()}});
         core::waitForStopSignal();
         return core::ExitOk;
     } catch (const std::exception &error) {
--- a/tests/integration/callers_test.cpp
+++ b/tests/integration/callers_test.cpp
@@ -22,19 +22,19 @@
     return fleet;
 }
 
-Answer post(Fleet &fleet, const std::string &path, const std::string &body, const std::string &key = Fleet::Key)
+Answer post(Fleet &fleet, const std::string &path, const std::string &body, const std::string &key = Fleet::ApiKey)
 {
-    return support::call(fleet.caller("domain-a-1"), "POST", path, body, {{"Authorization", "Bearer " + key}});
+    return support::call(fleet.callerAddress("domain-a-1"), "POST", path, body, {{"Authorization", "Bearer " + key}});
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(callers)
 
-BOOST_AUTO_TEST_CASE(a_stream_is_whole_and_carries_usage)
+BOOST_AUTO_TEST_CASE(a_stream_is_complete_and_reports_usage)
 {
     auto &fleet = sharedFleet();
-    const auto prompt = Fleet::promptOf(1000);
+    const auto prompt = Fleet::makePrompt(1000);
     const nlohmann::json body{{"model", "model"},
                               {"stream", true},
                               {"stream_options", {{"include_usage", true}}},
@@ -42,37 +42,37 @@
                               {"messages", {{{"role", "user"}, {"content", prompt}}}}};
     const auto answer = post(fleet, "/v1/chat/completions", body.dump());
     BOOST_TEST(answer.status == 200);
-    BOOST_TEST(answer.text() == Fleet::expected(prompt, 20));
+    BOOST_TEST(answer.text() == Fleet::expectedAnswer(prompt, 20));
     BOOST_TEST(answer.streamEnded());
     BOOST_TEST(answer.outcome() == "completed");
     BOOST_TEST(answer.body.find("\"prompt_tokens\":1000") != std::string::npos);
     BOOST_TEST(answer.headers.contains("Request-Id"));
 }
 
-BOOST_AUTO_TEST_CASE(a_whole_answer_has_the_shape_that_clients_read)
+BOOST_AUTO_TEST_CASE(a_non_streamed_answer_has_the_fields_that_clients_read)
 {
     auto &fleet = sharedFleet();
-    const auto prompt = Fleet::promptOf(1000);
+    const auto prompt = Fleet::makePrompt(1000);
     const auto answer = fleet.complete("domain-a-2", prompt, 20, false);
     BOOST_TEST(answer.status == 200);
     const auto value = answer.json();
     BOOST_TEST(value["object"] == "chat.completion");
-    BOOST_TEST(value["choices"][0]["message"]["content"] == Fleet::expected(prompt, 20));
+    BOOST_TEST(value["choices"][0]["message"]["content"] == Fleet::expectedAnswer(prompt, 20));
     BOOST_TEST(value["usage"]["completion_tokens"] == 20);
     const auto text = post(fleet, "/v1/completions", R"({"model":"model","prompt":"hello","max_tokens":3})").json();
     BOOST_TEST(text["object"] == "text_completion");
-    BOOST_TEST(text["choices"][0]["text"] == Fleet::expected("hello", 3));
+    BOOST_TEST(text["choices"][0]["text"] == Fleet::expectedAnswer("hello", 3));
 }
 
 BOOST_AUTO_TEST_CASE(models_are_listed)
 {
     auto &fleet = sharedFleet();
-    const auto answer = support::call(fleet.caller("domain-a-1"), "GET", "/v1/models", "",
-                                      {{"Authorization", std::string("Bearer ") + Fleet::Key}});
+    const auto answer = support::call(fleet.callerAddress("domain-a-1"), "GET", "/v1/models", "",
+                                      {{"Authorization", std::string("Bearer ") + Fleet::ApiKey}});
     BOOST_TEST(answer.json()["data"][0]["id"] == "model");
 }
 
-BOOST_AUTO_TEST_CASE(refusals_are_typed_and_say_that_nothing_ran)
+BOOST_AUTO_TEST_CASE(refusals_have_an_error_code_and_report_not_run)
 {
     auto &fleet = sharedFleet();
     const std::string body = R"({"model":"model","prompt":"x"})";
@@ -86,42 +86,43 @@
     };
     const std::vector<Case> cases{{body, "tester.wrong", 401, "unknown_key"},
                                   {body, "nobody.secret", 401, "unknown_key"},
-                                  {R"({"model":"other","prompt":"x"})", Fleet::Key, 404, "unknown_model"},
-                                  {"{", Fleet::Key, 400, "malformed_body"},
-                                  {std::string(17U << 20, ' '), Fleet::Key, 413, "body_too_large"}};
+                                  {R"({"model":"other","prompt":"x"})", Fleet::ApiKey, 404, "unknown_model"},
+                                  {"{", Fleet::ApiKey, 400, "malformed_body"},
+                                  {std::string(17U << 20, ' '), Fleet::ApiKey, 413, "body_too_large"}};
     for (const auto &item : cases) {
         const auto answer = post(fleet, "/v1/chat/completions", item.body, item.key);
         BOOST_TEST(answer.errorCode() == item.code);
         BOOST_TEST(answer.outcome() == "not_run");
         BOOST_TEST(answer.status == item.status);
     }
-    const auto keyless = support::call(fleet.caller("domain-a-1"), "POST", "/v1/chat/completions", body);
+    const auto keyless = support::call(fleet.callerAddress("domain-a-1"), "POST", "/v1/chat/completions", body);
     BOOST_TEST(keyless.status == 401);
     BOOST_TEST(keyless.errorCode() == "missing_key");
-    const auto lost = support::call(fleet.caller("domain-a-1"), "GET", "/nowhere");
-    BOOST_TEST(lost.status == 404);
-    BOOST_TEST(lost.errorCode() == "unknown_path");
-    const auto longHeader
-        = support::call(fleet.caller("domain-a-1"), "GET", "/v1/models", "", {{"Filler", std::string(20'000, 'x')}});
+    const auto unknownPath = support::call(fleet.callerAddress("domain-a-1"), "GET", "/nowhere");
+    BOOST_TEST(unknownPath.status == 404);
+    BOOST_TEST(unknownPath.errorCode() == "unknown_path");
+    const auto longHeader = support::call(fleet.callerAddress("domain-a-1"), "GET", "/v1/models", "",
+                                          {{"Filler", std::string(20'000, 'x')}});
     BOOST_TEST(longHeader.status == 400);
     BOOST_TEST(longHeader.errorCode() == "malformed_request");
     BOOST_TEST(fleet.metric("domain-a-1", "attempts_started_total") == before);
     BOOST_TEST(fleet.metric("domain-a-1", "refusals_total{reason=\"unknown_key\"}") >= 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_plain_service_is_passed_through)
+BOOST_AUTO_TEST_CASE(requests_to_a_plain_service_are_passed_through)
 {
     auto &fleet = sharedFleet();
-    const std::map<std::string, std::string> headers{{"Authorization", std::string("Bearer ") + Fleet::Key},
+    const std::map<std::string, std::string> headers{{"Authorization", std::string("Bearer ") + Fleet::ApiKey},
                                                      {"Work-Id", "w1"}};
     const auto answer
-        = support::call(fleet.caller("domain-a-1"), "PUT", "/services/service/seats/4?hold=1", "body", headers);
+        = support::call(fleet.callerAddress("domain-a-1"), "PUT", "/services/service/seats/4?hold=1", "body", headers);
     BOOST_TEST(answer.status == 200);
     BOOST_TEST(answer.headers.at("Service") == "standin");
     BOOST_TEST(answer.json()["method"] == "PUT");
     BOOST_TEST(answer.json()["path"] == "/seats/4?hold=1");
     BOOST_TEST(answer.json()["body"] == "body");
-    const auto teapot = support::call(fleet.caller("domain-a-1"), "GET", "/services/service/teapot", "", headers);
+    const auto teapot
+        = support::call(fleet.callerAddress("domain-a-1"), "GET", "/services/service/teapot", "", headers);
     BOOST_TEST(teapot.status == 418);
     BOOST_TEST(teapot.body == "short and stout");
 }
@@ -129,22 +130,22 @@
 BOOST_AUTO_TEST_CASE(a_decision_is_explained_by_any_daemon)
 {
     auto &fleet = sharedFleet();
-    const auto answer = fleet.complete("domain-a-1", Fleet::promptOf(1000), 2);
+    const auto answer = fleet.complete("domain-a-1", Fleet::makePrompt(1000), 2);
     const auto id = answer.headers.at("Request-Id");
     nlohmann::json decision;
     BOOST_TEST(eventually([&] {
-        decision = support::call(fleet.admin("domain-a-2"), "GET", "/explain/" + id).json();
+        decision = support::call(fleet.adminAddress("domain-a-2"), "GET", "/explain/" + id).json();
         return decision.contains("attempts");
     }));
     BOOST_TEST(decision["outcome"] == "completed");
     BOOST_TEST(decision["attempts"][0]["candidates"].size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_passed_deadline_is_told_at_once)
+BOOST_AUTO_TEST_CASE(an_expired_deadline_is_reported_immediately)
 {
     auto &fleet = sharedFleet();
     const auto answer
-        = fleet.complete("domain-a-1", Fleet::promptOf(2000), 100'000, true, {{"Spurlug-Deadline-Ms", "400"}});
+        = fleet.complete("domain-a-1", Fleet::makePrompt(2000), 100'000, true, {{"Spurlug-Deadline-Ms", "400"}});
     BOOST_TEST(answer.errorCode() == "deadline_passed");
     BOOST_TEST(!answer.streamEnded());
     BOOST_TEST(eventually([&] {
@@ -153,29 +154,29 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_in_time_is_refused_at_once)
+BOOST_AUTO_TEST_CASE(a_request_that_cannot_meet_its_deadline_is_refused_immediately)
 {
     auto &fleet = sharedFleet();
     // An engine of this fleet prefills the prompt in 2.8 ms.
-    const auto answer = fleet.complete("domain-a-1", Fleet::promptOf(7000), 5, true, {{"Spurlug-Deadline-Ms", "1"}});
+    const auto answer = fleet.complete("domain-a-1", Fleet::makePrompt(7000), 5, true, {{"Spurlug-Deadline-Ms", "1"}});
     BOOST_TEST(answer.errorCode() == "deadline_too_short");
     BOOST_TEST(answer.outcome() == "not_run");
     BOOST_TEST(answer.headers.contains("Retry-After"));
 }
 
-BOOST_AUTO_TEST_CASE(operators_get_answers_while_all_caller_connections_are_taken)
+BOOST_AUTO_TEST_CASE(the_admin_api_responds_while_all_caller_connections_are_in_use)
 {
-    support::FleetShape shape;
-    shape.daemonsEach = 1;
-    shape.daemonExtras = {{"limits", {{"connections", 2}}}};
-    Fleet fleet(shape);
+    support::FleetOptions options;
+    options.daemonsPerDomain = 1;
+    options.extraDaemonSettings = {{"limits", {{"connections", 2}}}};
+    Fleet fleet(options);
     std::vector<std::thread> callers;
     for (int i = 0; i < 2; ++i) {
         callers.emplace_back(
-            [&fleet] { static_cast<void>(fleet.complete("domain-a-1", Fleet::promptOf(1000), 2000)); });
+            [&fleet] { static_cast<void>(fleet.complete("domain-a-1", Fleet::makePrompt(1000), 2000)); });
     }
     BOOST_TEST(eventually([&] { return fleet.metric("domain-a-1", "requests_in_progress") == 2; }));
-    const auto refused = fleet.complete("domain-a-1", Fleet::promptOf(1000), 2);
+    const auto refused = fleet.complete("domain-a-1", Fleet::makePrompt(1000), 2);
     BOOST_TEST(refused.status == 503);
     BOOST_TEST(refused.errorCode() == "overloaded");
     BOOST_TEST(refused.headers.at("Retry-After") == "1");
--- a/tests/platform/crashing_requests_test.cpp
+++ b/tests/platform/crashing_requests_test.cpp
@@ -26,11 +26,11 @@
 namespace
 {
 
-constexpr std::size_t Daemons = 4;
+constexpr std::size_t DaemonCount = 4;
 /// A request that crashed this many targets is not sent again.
-constexpr std::size_t EndedAtMost = 3;
+constexpr std::size_t MaxCrashes = 3;
 /// Interval between two copies: far longer than daemons need to exchange crash reports, far shorter than callers wait.
-constexpr auto CopyPause = absl::Milliseconds(100);
+constexpr auto CopyInterval = absl::Milliseconds(100);
 
 /// Targets of one service that crash on one request body. A new target with a new id replaces each crashed one.
 class CrashingService
@@ -42,14 +42,14 @@
         , m_body(std::move(body))
     {
         for (int i = 0; i < targets; ++i) {
-            add();
+            addTarget();
         }
     }
 
-    [[nodiscard]] std::size_t crashed() const
+    [[nodiscard]] std::size_t crashCount() const
     {
         return static_cast<std::size_t>(
-            std::count_if(m_targets.begin(), m_targets.end(), [](const auto *target) { return target->crashed(); }));
+            std::count_if(m_targets.begin(), m_targets.end(), [](const auto *target) { return target->hasCrashed(); }));
     }
 
     [[nodiscard]] const std::vector<FakeTarget *> &targets() const noexcept
@@ -60,20 +60,20 @@
     /// Removes the entries of the crashed targets and starts as many new targets.
     void replaceCrashed()
     {
-        const auto known = m_targets;
-        for (auto *target : known) {
-            if (target->crashed() && m_replaced.insert(target).second) {
+        const auto previousTargets = m_targets;
+        for (auto *target : previousTargets) {
+            if (target->hasCrashed() && m_replaced.insert(target).second) {
                 m_fleet.store.remove("servers", target->id());
-                add();
+                addTarget();
             }
         }
     }
 
-    void add()
+    void addTarget()
     {
         auto &target = m_fleet.addTarget(m_service);
-        target.crashesOn = m_body;
-        target.behaviour.events = m_service == "model" ? 3 : 0;
+        target.crashingBody = m_body;
+        target.behaviour.eventCount = m_service == "model" ? 3 : 0;
         m_targets.push_back(&target);
     }
 
@@ -85,32 +85,33 @@
     std::set<FakeTarget *> m_replaced;
 };
 
-Ask chat(std::string body)
+CallerRequest chatRequest(std::string body)
 {
-    Ask ask;
-    ask.path = "/chat/1";
-    ask.promptTokens = 1000;
-    ask.body = std::move(body);
-    return ask;
+    CallerRequest request;
+    request.path = "/chat/1";
+    request.promptTokens = 1000;
+    request.body = std::move(body);
+    return request;
 }
 
-Ask safe(std::string body)
+CallerRequest safeRequest(std::string body)
 {
-    Ask ask;
-    ask.path = "/safe/1";
-    ask.body = std::move(body);
-    return ask;
+    CallerRequest request;
+    request.path = "/safe/1";
+    request.body = std::move(body);
+    return request;
 }
 
 /// Sends copies of a request to all daemons in turn, each after the answer to the previous one.
-net::Task<std::vector<Got>> sendCopies(RelayFleet &fleet, CrashingService &service, const Ask &ask, int copies)
+net::Task<std::vector<CallerAnswer>> sendCopies(RelayFleet &fleet, CrashingService &service,
+                                                const CallerRequest &request, int copies)
 {
-    std::vector<Got> answers;
+    std::vector<CallerAnswer> answers;
     for (int i = 0; i < copies; ++i) {
-        auto got = co_await fleet.ask(ask, static_cast<std::size_t>(i) % Daemons);
-        answers.push_back(std::move(got));
+        auto answer = co_await fleet.send(request, static_cast<std::size_t>(i) % DaemonCount);
+        answers.push_back(std::move(answer));
         service.replaceCrashed();
-        co_await net::sleepFor(CopyPause);
+        co_await net::sleepFor(CopyInterval);
     }
     co_return answers;
 }
@@ -119,36 +120,36 @@
 
 BOOST_AUTO_TEST_SUITE(crashing_requests)
 
-BOOST_AUTO_TEST_CASE(a_prompt_that_ends_engines_reaches_none_after_the_third_whatever_daemon_it_comes_to)
+BOOST_AUTO_TEST_CASE(a_prompt_that_crashes_engines_is_blocked_at_all_daemons_after_the_third_crash)
 {
-    RelayFleet fleet(Daemons, Peers::Joined);
+    RelayFleet fleet(DaemonCount, Peers::Connected);
     CrashingService engines(fleet, "model", 6, "the end");
     fleet.run([&]() -> net::Task<> {
-        co_await fleet.ready();
-        co_await fleet.joined();
-        const auto answers = co_await sendCopies(fleet, engines, chat("the end"), 12);
-        BOOST_TEST(engines.crashed() == EndedAtMost);
+        co_await fleet.waitUntilReady();
+        co_await fleet.waitUntilConnected();
+        const auto answers = co_await sendCopies(fleet, engines, chatRequest("the end"), 12);
+        BOOST_TEST(engines.crashCount() == MaxCrashes);
         const auto &last = answers.back();
         BOOST_TEST(last.status == 503); // The request did not run and will not run.
         BOOST_TEST(std::stod("0" + std::string(last.head.headers.value("Retry-After"))) >= 10);
-        for (std::size_t daemon = 0; daemon < Daemons; ++daemon) {
-            const auto other = co_await fleet.ask(chat("another question"), daemon);
+        for (std::size_t daemon = 0; daemon < DaemonCount; ++daemon) {
+            const auto other = co_await fleet.send(chatRequest("another question"), daemon);
             BOOST_TEST(other.status == 200);
         }
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_plain_request_that_ends_targets_reaches_none_after_the_third_whatever_daemon_it_comes_to)
+BOOST_AUTO_TEST_CASE(a_plain_request_that_crashes_targets_is_blocked_at_all_daemons_after_the_third_crash)
 {
-    RelayFleet fleet(Daemons, Peers::Joined);
+    RelayFleet fleet(DaemonCount, Peers::Connected);
     CrashingService service(fleet, "app", 5, "the end");
     fleet.run([&]() -> net::Task<> {
-        co_await fleet.ready();
-        co_await fleet.joined();
-        const auto answers = co_await sendCopies(fleet, service, safe("the end"), 12);
-        BOOST_TEST(service.crashed() == EndedAtMost);
+        co_await fleet.waitUntilReady();
+        co_await fleet.waitUntilConnected();
+        const auto answers = co_await sendCopies(fleet, service, safeRequest("the end"), 12);
+        BOOST_TEST(service.crashCount() == MaxCrashes);
         BOOST_TEST(answers.back().status == 503);
-        const auto other = co_await fleet.ask(safe("another question"));
+        const auto other = co_await fleet.send(safeRequest("another question"));
         BOOST_TEST(other.status == 200);
     });
 }
--- a/tests/platform/evacuation_test.cpp
+++ b/tests/platform/evacuation_test.cpp
@@ -19,30 +19,31 @@
 namespace
 {
 
-constexpr auto Spread = absl::Milliseconds(250); // Time within which a daemon that reads the store knows of a change.
+constexpr auto PropagationTime
+    = absl::Milliseconds(250); // Time within which a daemon that reads the store knows of a change.
 /// A daemon that learns from another one asks it every 0.3 s; the platform allows some seconds.
-constexpr auto SpreadToFollowers = absl::Milliseconds(900);
-constexpr int Asks = 12;
+constexpr auto FleetPropagationTime = absl::Milliseconds(900);
+constexpr int RequestCount = 12;
 
 /// A fleet with one target in each of two failure domains.
 struct TwoDomains
 {
-    explicit TwoDomains(int daemons = 1, Peers peers = Peers::Apart)
+    explicit TwoDomains(int daemons = 1, Peers peers = Peers::Isolated)
         : fleet(daemons, peers)
         , inA(fleet.addTarget("app"))
         , inB(fleet.addTarget("app"))
     {
-        fleet.announceIn("hall-a", inA);
-        fleet.announceIn("hall-b", inB);
+        fleet.writeAppEntry("hall-a", inA);
+        fleet.writeAppEntry("hall-b", inB);
     }
 
     /// Sends some requests and checks that all are answered with 200.
-    [[nodiscard]] net::Task<> askSome(std::size_t daemon = 0)
+    [[nodiscard]] net::Task<> sendRequests(std::size_t daemon = 0)
     {
-        for (int i = 0; i < Asks; ++i) {
-            Ask ask;
-            const auto got = co_await fleet.ask(ask, daemon);
-            BOOST_TEST(got.status == 200);
+        for (int i = 0; i < RequestCount; ++i) {
+            CallerRequest request;
+            const auto answer = co_await fleet.send(request, daemon);
+            BOOST_TEST(answer.status == 200);
         }
     }
 
@@ -55,108 +56,110 @@
 
 BOOST_AUTO_TEST_SUITE(evacuation)
 
-BOOST_AUTO_TEST_CASE(an_evacuated_failure_domain_gets_nothing_until_it_is_taken_back)
+BOOST_AUTO_TEST_CASE(an_evacuated_failure_domain_gets_no_requests_until_the_evacuation_ends)
 {
-    TwoDomains two;
-    two.fleet.run([&]() -> net::Task<> {
-        co_await two.fleet.ready();
-        two.fleet.evacuate("hall-a");
-        two.fleet.evacuate("hall-nowhere"); // This failure domain has no target.
-        co_await net::sleepFor(Spread);
-        co_await two.askSome();
-        BOOST_TEST(two.inA.arrivals().empty());
-        two.fleet.takeBack("hall-a");
-        two.fleet.evacuate("hall-b"); // For a daemon that learns of this change first, the evacuations overlap.
-        co_await net::sleepFor(Spread);
-        const auto before = two.inB.arrivals().size();
-        co_await two.askSome();
-        BOOST_TEST(two.inB.arrivals().size() == before);
+    TwoDomains domains;
+    domains.fleet.run([&]() -> net::Task<> {
+        co_await domains.fleet.waitUntilReady();
+        domains.fleet.evacuate("hall-a");
+        domains.fleet.evacuate("hall-nowhere"); // This failure domain has no target.
+        co_await net::sleepFor(PropagationTime);
+        co_await domains.sendRequests();
+        BOOST_TEST(domains.inA.arrivals().empty());
+        domains.fleet.endEvacuation("hall-a");
+        domains.fleet.evacuate("hall-b"); // For a daemon that learns of this change first, the evacuations overlap.
+        co_await net::sleepFor(PropagationTime);
+        const auto before = domains.inB.arrivals().size();
+        co_await domains.sendRequests();
+        BOOST_TEST(domains.inB.arrivals().size() == before);
     });
 }
 
-BOOST_AUTO_TEST_CASE(what_is_in_force_when_a_daemon_starts_is_known_before_its_first_send)
+BOOST_AUTO_TEST_CASE(a_starting_daemon_knows_active_evacuations_before_it_sends_requests)
 {
-    TwoDomains two;
-    two.fleet.evacuate("hall-a");
-    two.fleet.run([&]() -> net::Task<> {
-        co_await two.fleet.ready();
-        co_await two.askSome();
-        BOOST_TEST(two.inA.arrivals().empty());
+    TwoDomains domains;
+    domains.fleet.evacuate("hall-a");
+    domains.fleet.run([&]() -> net::Task<> {
+        co_await domains.fleet.waitUntilReady();
+        co_await domains.sendRequests();
+        BOOST_TEST(domains.inA.arrivals().empty());
     });
 }
 
-BOOST_AUTO_TEST_CASE(followers_learn_of_an_evacuation_and_the_last_word_holds_while_the_store_is_away)
+BOOST_AUTO_TEST_CASE(all_daemons_learn_of_an_evacuation_and_keep_it_while_the_store_is_unavailable)
 {
-    TwoDomains two(4, Peers::Joined);
-    two.fleet.run([&]() -> net::Task<> {
-        co_await two.fleet.ready();
-        co_await two.fleet.joined();
-        two.fleet.evacuate("hall-a");
-        co_await net::sleepFor(SpreadToFollowers);
-        two.fleet.store.mood = StoreMood::Silent; // Calls in progress get no answer either.
+    TwoDomains domains(4, Peers::Connected);
+    domains.fleet.run([&]() -> net::Task<> {
+        co_await domains.fleet.waitUntilReady();
+        co_await domains.fleet.waitUntilConnected();
+        domains.fleet.evacuate("hall-a");
+        co_await net::sleepFor(FleetPropagationTime);
+        domains.fleet.store.failure = StoreFailure::Unresponsive; // Calls in progress get no answer either.
         for (std::size_t daemon = 0; daemon < 4; ++daemon) {
-            co_await two.askSome(daemon);
+            co_await domains.sendRequests(daemon);
         }
-        BOOST_TEST(two.inA.arrivals().empty());
-        two.fleet.takeBack("hall-a"); // No daemon can learn of this.
-        co_await net::sleepFor(SpreadToFollowers);
-        co_await two.askSome(3);
-        BOOST_TEST(two.inA.arrivals().empty());
-        two.fleet.store.mood = StoreMood::Well;
-        co_await net::sleepFor(SpreadToFollowers);
-        co_await two.askSome(3);
-        BOOST_TEST(!two.inA.arrivals().empty());
+        BOOST_TEST(domains.inA.arrivals().empty());
+        domains.fleet.endEvacuation("hall-a"); // No daemon can learn of this.
+        co_await net::sleepFor(FleetPropagationTime);
+        co_await domains.sendRequests(3);
+        BOOST_TEST(domains.inA.arrivals().empty());
+        domains.fleet.store.failure = StoreFailure::None;
+        co_await net::sleepFor(FleetPropagationTime);
+        co_await domains.sendRequests(3);
+        BOOST_TEST(!domains.inA.arrivals().empty());
     });
 }
 
-BOOST_AUTO_TEST_CASE(an_evacuation_that_a_forgotten_history_hides_is_found_in_the_list)
+BOOST_AUTO_TEST_CASE(an_evacuation_missing_from_a_dropped_history_is_read_from_the_list)
 {
-    TwoDomains two;
-    two.fleet.run([&]() -> net::Task<> {
-        co_await two.fleet.ready();
-        two.fleet.store.mood = StoreMood::Silent; // Watches get no answer while the evacuation is written.
-        two.fleet.evacuate("hall-a");
-        two.fleet.store.forgetHistory();
-        two.fleet.store.mood = StoreMood::Well;
-        co_await net::sleepFor(SpreadToFollowers);
-        co_await two.askSome();
-        BOOST_TEST(two.inA.arrivals().empty());
+    TwoDomains domains;
+    domains.fleet.run([&]() -> net::Task<> {
+        co_await domains.fleet.waitUntilReady();
+        domains.fleet.store.failure
+            = StoreFailure::Unresponsive; // Watches get no answer while the evacuation is written.
+        domains.fleet.evacuate("hall-a");
+        domains.fleet.store.dropHistory();
+        domains.fleet.store.failure = StoreFailure::None;
+        co_await net::sleepFor(FleetPropagationTime);
+        co_await domains.sendRequests();
+        BOOST_TEST(domains.inA.arrivals().empty());
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_only_evacuated_targets_could_serve_is_refused_at_once_with_the_truth)
+BOOST_AUTO_TEST_CASE(a_request_that_only_evacuated_targets_could_serve_is_refused_at_once_with_the_reason)
 {
-    TwoDomains two;
-    two.fleet.run([&]() -> net::Task<> {
-        co_await two.fleet.ready();
-        two.fleet.evacuate("hall-a");
-        two.fleet.evacuate("hall-b");
-        co_await net::sleepFor(Spread);
-        Ask ask;
-        const auto got = co_await two.fleet.ask(ask);
-        BOOST_TEST(got.status == 503);
-        BOOST_TEST(got.body.find("domains_evacuated") != std::string::npos);
-        BOOST_TEST(got.head.headers.find("Retry-After") != nullptr);
-        BOOST_TEST(two.inA.arrivals().empty());
-        BOOST_TEST(two.inB.arrivals().empty());
+    TwoDomains domains;
+    domains.fleet.run([&]() -> net::Task<> {
+        co_await domains.fleet.waitUntilReady();
+        domains.fleet.evacuate("hall-a");
+        domains.fleet.evacuate("hall-b");
+        co_await net::sleepFor(PropagationTime);
+        CallerRequest request;
+        const auto answer = co_await domains.fleet.send(request);
+        BOOST_TEST(answer.status == 503);
+        BOOST_TEST(answer.body.find("domains_evacuated") != std::string::npos);
+        BOOST_TEST(answer.head.headers.find("Retry-After") != nullptr);
+        BOOST_TEST(domains.inA.arrivals().empty());
+        BOOST_TEST(domains.inB.arrivals().empty());
     });
 }
 
-BOOST_AUTO_TEST_CASE(what_runs_in_a_failure_domain_that_is_evacuated_runs_on)
+BOOST_AUTO_TEST_CASE(running_requests_continue_in_an_evacuated_failure_domain)
 {
-    TwoDomains two;
-    two.inA.behaviour.work = absl::Milliseconds(600);
-    two.fleet.evacuate("hall-b");
-    two.fleet.run([&]() -> net::Task<> {
-        co_await two.fleet.ready();
-        std::optional<Got> got;
+    TwoDomains domains;
+    domains.inA.behaviour.processingTime = absl::Milliseconds(600);
+    domains.fleet.evacuate("hall-b");
+    domains.fleet.run([&]() -> net::Task<> {
+        co_await domains.fleet.waitUntilReady();
+        std::optional<CallerAnswer> answer;
         net::asio::co_spawn(
-            two.fleet.loop, [&]() -> net::Task<> { got = co_await two.fleet.ask(Ask()); }, net::asio::detached);
+            domains.fleet.loop, [&]() -> net::Task<> { answer = co_await domains.fleet.send(CallerRequest()); },
+            net::asio::detached);
         co_await net::sleepFor(absl::Milliseconds(100));
-        two.fleet.evacuate("hall-a");
+        domains.fleet.evacuate("hall-a");
         co_await net::sleepFor(absl::Seconds(1));
-        BOOST_REQUIRE(got.has_value());
-        BOOST_TEST(got->status == 200);
+        BOOST_REQUIRE(answer.has_value());
+        BOOST_TEST(answer->status == 200);
     });
 }
 
--- a/tests/platform/fake_store.cpp
+++ b/tests/platform/fake_store.cpp
@@ -14,15 +14,15 @@
 namespace
 {
 
-constexpr std::string_view Objects = "/v1/objects/";
+constexpr std::string_view ObjectsPath = "/v1/objects/";
 
-std::int64_t queryNumber(const std::string &query, const std::string &key)
+std::int64_t queryParameter(const std::string &query, const std::string &key)
 {
     const auto at = query.find(key + "=");
     return at == std::string::npos ? -1 : std::stoll(query.substr(at + key.size() + 1));
 }
 
-net::Response json(int status, const nlohmann::json &body)
+net::Response jsonResponse(int status, const nlohmann::json &body)
 {
     net::Response response;
     response.head.status = status;
@@ -45,7 +45,7 @@
 
 nlohmann::json FakeStore::objectJson(const std::string &name, const Object &object) const
 {
-    if (!object.text.empty()) {
+    if (!object.rawBytes.empty()) {
         return core::cat("text-", object.revision);
     }
     return {{"metadata", {{"name", name}, {"revision", object.revision}, {"deleting", false}}}, {"spec", object.spec}};
@@ -53,24 +53,24 @@
 
 void FakeStore::put(const std::string &kind, const std::string &name, const nlohmann::json &spec)
 {
-    auto &object = m_kinds[kind][name];
+    auto &object = m_objects[kind][name];
     object = {spec, ++m_revision, {}};
     m_history.push_back({m_revision, kind, {{"gone", false}, {"object", objectJson(name, object)}}});
 }
 
-void FakeStore::putText(const std::string &kind, const std::string &name, const std::string &object)
+void FakeStore::putRaw(const std::string &kind, const std::string &name, const std::string &bytes)
 {
     put(kind, name, nullptr);
-    auto &stored = m_kinds[kind][name];
-    stored.text = object;
+    auto &stored = m_objects[kind][name];
+    stored.rawBytes = bytes;
     const auto placeholder = objectJson(name, stored);
-    m_texts[placeholder.dump()] = object;
+    m_rawObjects[placeholder.dump()] = bytes;
     m_history.back().event["object"] = placeholder;
 }
 
-std::string FakeStore::withTexts(std::string body) const
+std::string FakeStore::insertRawObjects(std::string body) const
 {
-    for (const auto &[placeholder, text] : m_texts) {
+    for (const auto &[placeholder, text] : m_rawObjects) {
         for (auto at = body.find(placeholder); at != std::string::npos; at = body.find(placeholder, at + text.size())) {
             body.replace(at, placeholder.size(), text);
         }
@@ -80,28 +80,28 @@
 
 void FakeStore::remove(const std::string &kind, const std::string &name)
 {
-    const auto object = m_kinds[kind][name];
-    m_kinds[kind].erase(name);
+    const auto object = m_objects[kind][name];
+    m_objects[kind].erase(name);
     m_history.push_back({++m_revision, kind, {{"gone", true}, {"object", objectJson(name, object)}}});
 }
 
-void FakeStore::copy()
+void FakeStore::takeSnapshot()
 {
-    m_copy = {m_kinds, m_history, m_revision};
+    m_snapshot = {m_objects, m_history, m_revision};
 }
 
-void FakeStore::restore()
+void FakeStore::restoreSnapshot()
 {
-    m_kinds = m_copy.kinds;
-    m_history = m_copy.history;
-    m_revision = m_copy.revision;
+    m_objects = m_snapshot.objects;
+    m_history = m_snapshot.history;
+    m_revision = m_snapshot.revision;
     ++m_era;
 }
 
-void FakeStore::forgetHistory()
+void FakeStore::dropHistory()
 {
     m_history.clear();
-    m_oldest = ++m_revision;
+    m_oldestRevision = ++m_revision;
 }
 
 const core::Address &FakeStore::address() const noexcept
@@ -109,37 +109,37 @@
     return m_listener.address();
 }
 
-const std::map<std::string, int> &FakeStore::calls() const noexcept
+const std::map<std::string, int> &FakeStore::callCounts() const noexcept
 {
-    return m_calls;
+    return m_callCounts;
 }
 
 net::Response FakeStore::list(const std::string &kind) const
 {
     auto items = nlohmann::json::array();
-    if (const auto found = m_kinds.find(kind); found != m_kinds.end()) {
+    if (const auto found = m_objects.find(kind); found != m_objects.end()) {
         for (const auto &[name, object] : found->second) {
             items.push_back(objectJson(name, object));
         }
     }
-    return json(200, {{"items", std::move(items)}, {"more", false}, {"at", m_revision}});
+    return jsonResponse(200, {{"items", std::move(items)}, {"more", false}, {"at", m_revision}});
 }
 
-net::Task<net::Response> FakeStore::watch(std::string kind, std::int64_t from, core::Duration wait)
+net::Task<net::Response> FakeStore::watch(std::string kind, std::int64_t fromRevision, core::Duration wait)
 {
     const auto until = core::now() + wait;
     for (;;) {
-        if (from < m_oldest || from > m_revision) {
-            co_return json(410, {{"error", "history is gone"}});
+        if (fromRevision < m_oldestRevision || fromRevision > m_revision) {
+            co_return jsonResponse(410, {{"error", "history is gone"}});
         }
         auto events = nlohmann::json::array();
         for (const auto &change : m_history) {
-            if (change.revision > from && change.kind == kind) {
+            if (change.revision > fromRevision && change.kind == kind) {
                 events.push_back(change.event);
             }
         }
         if (!events.empty() || core::now() >= until) {
-            co_return json(200, {{"events", std::move(events)}, {"at", m_revision}});
+            co_return jsonResponse(200, {{"events", std::move(events)}, {"at", m_revision}});
         }
         co_await net::sleepFor(absl::Milliseconds(2));
     }
@@ -147,22 +147,22 @@
 
 net::Task<net::Response> FakeStore::answer(net::Request request)
 {
-    const auto question = request.target.find('?');
-    const auto path = request.target.substr(0, question);
-    const auto query = question == std::string::npos ? std::string() : request.target.substr(question + 1);
-    ++m_calls[path];
-    if (mood == StoreMood::Busy) {
-        co_return json(503, {{"error", "busy"}});
+    const auto queryStart = request.target.find('?');
+    const auto path = request.target.substr(0, queryStart);
+    const auto query = queryStart == std::string::npos ? std::string() : request.target.substr(queryStart + 1);
+    ++m_callCounts[path];
+    if (failure == StoreFailure::Unavailable) {
+        co_return jsonResponse(503, {{"error", "busy"}});
     }
-    if (mood == StoreMood::Limited) {
-        co_return json(429, {{"error", "too many calls"}});
+    if (failure == StoreFailure::RateLimited) {
+        co_return jsonResponse(429, {{"error", "too many calls"}});
     }
-    const auto kind = path.substr(std::min(path.size(), Objects.size()));
-    const auto from = queryNumber(query, "watch");
-    if (from < 0) {
+    const auto kind = path.substr(std::min(path.size(), ObjectsPath.size()));
+    const auto watchedRevision = queryParameter(query, "watch");
+    if (watchedRevision < 0) {
         co_return list(kind);
     }
-    auto response = co_await watch(kind, from, absl::Milliseconds(queryNumber(query, "wait_ms")));
+    auto response = co_await watch(kind, watchedRevision, absl::Milliseconds(queryParameter(query, "wait_ms")));
     co_return response;
 }
 
@@ -174,14 +174,14 @@
         if (!result.request) {
             co_return;
         }
-        if (mood == StoreMood::Reset) {
+        if (failure == StoreFailure::ConnectionReset) {
             connection.reset();
             co_return;
         }
         auto response = co_await answer(std::move(*result.request));
-        response.body = withTexts(std::move(response.body));
+        response.body = insertRawObjects(std::move(response.body));
         response.head.headers.add("Store-Era", core::cat(m_era));
-        while (mood == StoreMood::Silent) {
+        while (failure == StoreFailure::Unresponsive) {
             co_await net::sleepFor(absl::Milliseconds(10));
         }
         const bool written = co_await connection.write(std::move(response), true, core::now() + absl::Seconds(1));
--- a/tests/platform/fake_target.cpp
+++ b/tests/platform/fake_target.cpp
@@ -17,12 +17,12 @@
 
 using Fault = Behaviour::Fault;
 
-core::Time soon()
+core::Time writeDeadline()
 {
     return core::now() + absl::Seconds(2);
 }
 
-net::Response plain(int status, std::string body)
+net::Response makeResponse(int status, std::string body)
 {
     net::Response response;
     response.head.status = status;
@@ -53,9 +53,9 @@
     return m_listener.address();
 }
 
-const std::vector<net::Request> &FakeTarget::ran() const noexcept
+const std::vector<net::Request> &FakeTarget::startedRequests() const noexcept
 {
-    return m_ran;
+    return m_startedRequests;
 }
 
 const std::vector<Arrival> &FakeTarget::arrivals() const noexcept
@@ -63,31 +63,31 @@
     return m_arrivals;
 }
 
-int FakeTarget::abandoned() const noexcept
+int FakeTarget::abandonedRequests() const noexcept
 {
-    return m_abandoned;
+    return m_abandonedRequests;
 }
 
-const std::map<std::string, std::int64_t> &FakeTarget::held() const noexcept
+const std::map<std::string, std::int64_t> &FakeTarget::reservations() const noexcept
 {
-    return m_held;
+    return m_reservations;
 }
 
-void FakeTarget::stop()
+void FakeTarget::stopListening()
 {
     m_listener.stop();
 }
 
-void FakeTarget::beginAnew(std::string id)
+void FakeTarget::replaceIncarnation(std::string id)
 {
     m_id = std::move(id);
-    ++m_life;
-    m_held.clear();
+    ++m_incarnation;
+    m_reservations.clear();
 }
 
-int FakeTarget::misdirectedOrders() const noexcept
+int FakeTarget::misdirectedMemoryRequests() const noexcept
 {
-    return m_misdirectedOrders;
+    return m_misdirectedMemoryRequests;
 }
 
 void FakeTarget::crash()
@@ -99,183 +99,188 @@
     }
 }
 
-bool FakeTarget::crashed() const noexcept
+bool FakeTarget::hasCrashed() const noexcept
 {
     return m_crashed;
 }
 
 net::Task<> FakeTarget::serve(net::asio::ip::tcp::socket socket)
 {
-    const auto connection = core::makeCounted<net::ServerConnection>(m_loop, std::move(socket));
+    const auto connection = core::makeRef<net::ServerConnection>(m_loop, std::move(socket));
     m_connections.insert(connection);
-    bool goesOn = true;
-    while (goesOn) {
+    bool keepsConnection = true;
+    while (keepsConnection) {
         auto result = co_await connection->read({});
-        goesOn = result.request.has_value();
-        if (goesOn) {
-            goesOn = co_await answer(connection, std::move(*result.request));
+        keepsConnection = result.request.has_value();
+        if (keepsConnection) {
+            keepsConnection = co_await answer(connection, std::move(*result.request));
         }
     }
     m_connections.erase(connection);
 }
 
-net::Response FakeTarget::order(const net::Request &request)
+net::Response FakeTarget::applyMemoryRequest(const net::Request &request)
 {
     const auto body = nlohmann::json::parse(request.body);
     const std::string id = body.at("id");
     if (body.at("op") == "reserve") {
-        m_held[id] = body.at("tokens");
+        m_reservations[id] = body.at("tokens");
     } else {
-        m_held.erase(id);
+        m_reservations.erase(id);
     }
-    return plain(200, R"({"free":100000})");
+    return makeResponse(200, R"({"free":100000})");
 }
 
-void FakeTarget::sayNotices(net::ResponseHead &head) const
+void FakeTarget::addNoticeHeaders(net::ResponseHead &head) const
 {
-    if (leaving) {
+    if (draining) {
         head.headers.add("Server-Leaving", "1");
     }
-    if (!cold.empty()) {
-        head.headers.add("Cold-Remaining-Ms", cold);
+    if (!remainingWarmUp.empty()) {
+        head.headers.add("Cold-Remaining-Ms", remainingWarmUp);
     }
-    if (!limit.empty()) {
-        head.headers.add("Server-Limit", limit);
+    if (!rateLimit.empty()) {
+        head.headers.add("Server-Limit", rateLimit);
     }
 }
 
-net::ResponseHead FakeTarget::head(const net::Request &request, const Behaviour &how) const
+net::ResponseHead FakeTarget::makeHead(const net::Request &request, const Behaviour &responseBehaviour) const
 {
     net::ResponseHead head;
-    head.status = how.status;
-    const bool wrongId = how.fault == Fault::WrongId;
+    head.status = responseBehaviour.status;
+    const bool wrongId = responseBehaviour.fault == Fault::WrongId;
     head.headers.add("Attempt-Id", wrongId ? std::string_view("another") : request.headers.value("Attempt-Id"));
-    if (how.fault != Fault::NoSignature) {
+    if (responseBehaviour.fault != Fault::NoSignature) {
         head.headers.add("Server-Signature", core::cat("signed-", m_id));
     }
-    if (how.fault == Fault::Encoded) {
+    if (responseBehaviour.fault == Fault::Encoded) {
         head.headers.add("Content-Encoding", "gzip");
     }
-    if (how.events > 0) {
+    if (responseBehaviour.eventCount > 0) {
         head.headers.add("Content-Type", "text/event-stream");
     }
-    sayNotices(head);
+    addNoticeHeaders(head);
     return head;
 }
 
 net::Task<bool> FakeTarget::stream(core::Ref<net::ServerConnection> connection, const net::Request &request,
-                                   const Behaviour &how)
+                                   const Behaviour &responseBehaviour)
 {
-    const bool begun = co_await connection->writeHead(head(request, how), true, soon());
-    if (!begun) {
-        ++m_abandoned;
+    const bool headWritten
+        = co_await connection->writeHead(makeHead(request, responseBehaviour), true, writeDeadline());
+    if (!headWritten) {
+        ++m_abandonedRequests;
         co_return false;
     }
-    const auto *after = request.headers.find("Last-Event-Id");
-    const int first = after != nullptr ? std::stoi(*after) + 1 : 0;
-    for (int id = first; id < how.events; ++id) {
-        if (id == how.skipAt) {
+    const auto *lastEventId = request.headers.find("Last-Event-Id");
+    const int first = lastEventId != nullptr ? std::stoi(*lastEventId) + 1 : 0;
+    for (int id = first; id < responseBehaviour.eventCount; ++id) {
+        if (id == responseBehaviour.omittedEvent) {
             continue;
         }
         const auto event = core::cat("id: ", id, "\ndata: token ", id, "\n\n");
-        if (how.breakAfter >= 0 && id >= how.breakAfter) {
-            const bool half = co_await connection->writeChunk(event.substr(0, event.size() / 2), soon());
+        if (responseBehaviour.resetAtEvent >= 0 && id >= responseBehaviour.resetAtEvent) {
+            const bool half = co_await connection->writeChunk(event.substr(0, event.size() / 2), writeDeadline());
             static_cast<void>(half); // The connection ends here either way.
             co_await net::sleepFor(absl::Milliseconds(5));
             connection->reset();
             co_return false;
         }
-        const bool taken = co_await connection->writeChunk(event, soon());
-        if (!taken) {
-            ++m_abandoned;
+        const bool written = co_await connection->writeChunk(event, writeDeadline());
+        if (!written) {
+            ++m_abandonedRequests;
             co_return false;
         }
-        co_await net::sleepFor(how.gap);
+        co_await net::sleepFor(responseBehaviour.eventInterval);
     }
-    const bool ended = co_await connection->writeEnd(soon());
-    co_return ended;
+    const bool written = co_await connection->writeEnd(writeDeadline());
+    co_return written;
 }
 
 net::Task<bool> FakeTarget::answer(core::Ref<net::ServerConnection> connection, net::Request request)
 {
     m_arrivals.push_back({core::now(), std::string(request.headers.value("Sent-To")), request.target});
     if (request.target == "/v1/order") {
-        const auto *named = request.headers.find("Target-Instance");
-        const bool misdirected = named != nullptr && *named != m_id;
-        m_misdirectedOrders += misdirected ? 1 : 0;
-        auto ordered = misdirected ? plain(421, "") : order(request);
-        sayNotices(ordered.head);
-        const bool written = co_await connection->write(std::move(ordered), true, soon());
+        const auto *namedTarget = request.headers.find("Target-Instance");
+        const bool misdirected = namedTarget != nullptr && *namedTarget != m_id;
+        m_misdirectedMemoryRequests += misdirected ? 1 : 0;
+        auto memoryResponse = misdirected ? makeResponse(421, "") : applyMemoryRequest(request);
+        addNoticeHeaders(memoryResponse.head);
+        const bool written = co_await connection->write(std::move(memoryResponse), true, writeDeadline());
         co_return written;
     }
     if (request.headers.value("Target-Instance") != m_id) {
-        auto misdirected = plain(421, "");
+        auto misdirected = makeResponse(421, "");
         misdirected.head.headers.add("Attempt-Id", request.headers.value("Attempt-Id"));
-        const bool written = co_await connection->write(std::move(misdirected), true, soon());
+        const bool written = co_await connection->write(std::move(misdirected), true, writeDeadline());
         co_return written;
     }
-    auto how = behaviour;
+    auto responseBehaviour = behaviour;
     if (!script.empty()) {
-        how = script.front();
+        responseBehaviour = script.front();
         script.erase(script.begin());
     }
-    if (how.fault == Fault::Shed) {
-        auto shed = plain(503, "");
+    if (responseBehaviour.fault == Fault::Shed) {
+        auto shed = makeResponse(503, "");
         shed.head.headers.add("Attempt-Id", request.headers.value("Attempt-Id"));
         shed.head.headers.add("Not-Executed", "1");
-        if (!how.retryAfter.empty()) {
-            shed.head.headers.add("Retry-After", how.retryAfter);
+        if (!responseBehaviour.retryAfter.empty()) {
+            shed.head.headers.add("Retry-After", responseBehaviour.retryAfter);
         }
-        sayNotices(shed.head);
-        const bool written = co_await connection->write(std::move(shed), true, soon());
+        addNoticeHeaders(shed.head);
+        const bool written = co_await connection->write(std::move(shed), true, writeDeadline());
         co_return written;
     }
-    m_ran.push_back(request);
-    if (!crashesOn.empty() && request.body == crashesOn) {
-        co_await net::sleepFor(crashAfter);
+    m_startedRequests.push_back(request);
+    if (!crashingBody.empty() && request.body == crashingBody) {
+        co_await net::sleepFor(crashDelay);
         crash();
         co_return false;
     }
-    bool gone = false;
-    connection->watch([&gone] { gone = true; });
-    const auto life = m_life;
-    const auto until = core::now() + (how.fault == Fault::Hang ? core::Duration(absl::Seconds(30)) : how.work);
-    while ((core::now() < until || life != m_life) && !gone) {
+    bool disconnected = false;
+    connection->watch([&disconnected] { disconnected = true; });
+    const auto incarnation = m_incarnation;
+    const auto until = core::now()
+        + (responseBehaviour.fault == Fault::Hang ? core::Duration(absl::Seconds(30))
+                                                  : responseBehaviour.processingTime);
+    while ((core::now() < until || incarnation != m_incarnation) && !disconnected) {
         co_await net::sleepFor(absl::Milliseconds(2));
     }
     connection->stopWatching();
-    if (gone) {
-        ++m_abandoned;
+    if (disconnected) {
+        ++m_abandonedRequests;
         co_return false;
     }
-    if (how.fault == Fault::LoseAnswer) {
+    if (responseBehaviour.fault == Fault::DropAnswer) {
         connection->close();
         co_return false;
     }
-    if (how.fault == Fault::ResetAnswer) {
+    if (responseBehaviour.fault == Fault::ResetAnswer) {
         connection->reset();
         co_return false;
     }
-    if (how.events > 0) {
-        const bool goesOn = co_await stream(connection, request, how);
-        co_return goesOn;
+    if (responseBehaviour.eventCount > 0) {
+        const bool keepsConnection = co_await stream(connection, request, responseBehaviour);
+        co_return keepsConnection;
     }
-    if (how.fault == Fault::CutBody) {
-        const bool begun = co_await connection->writeHead(head(request, how), true, soon());
-        bool half = begun;
-        if (begun) {
-            half = co_await connection->writeChunk(how.body.substr(0, how.body.size() / 2), soon());
+    if (responseBehaviour.fault == Fault::TruncateBody) {
+        const bool headWritten
+            = co_await connection->writeHead(makeHead(request, responseBehaviour), true, writeDeadline());
+        bool half = headWritten;
+        if (headWritten) {
+            half = co_await connection->writeChunk(responseBehaviour.body.substr(0, responseBehaviour.body.size() / 2),
+                                                   writeDeadline());
         }
         static_cast<void>(half); // The connection ends here either way.
         co_await net::sleepFor(absl::Milliseconds(5));
         connection->reset();
         co_return false;
     }
-    if (how.fault == Fault::BusyUnsaid) {
-        how.status = 503;
+    if (responseBehaviour.fault == Fault::AmbiguousBusy) {
+        responseBehaviour.status = 503;
     }
-    net::Response response{head(request, how), how.body};
-    const bool written = co_await connection->write(std::move(response), true, soon());
+    net::Response response{makeHead(request, responseBehaviour), responseBehaviour.body};
+    const bool written = co_await connection->write(std::move(response), true, writeDeadline());
     co_return written;
 }
 
--- a/tests/platform/fake_target.h
+++ b/tests/platform/fake_target.h
@@ -28,24 +28,24 @@
         None,
         Shed, ///< Answers 503 and states that the request did not run.
         Hang, ///< Accepts the request and does not answer.
-        LoseAnswer, ///< Runs the request and closes the connection without an answer.
+        DropAnswer, ///< Runs the request and closes the connection without an answer.
         ResetAnswer, ///< Runs the request and resets the connection without an answer.
-        CutBody, ///< Sends half of the body, then resets the connection.
+        TruncateBody, ///< Sends half of the body, then resets the connection.
         WrongId, ///< Answers with the id of another request.
         NoSignature,
         Encoded,
         Garbage, ///< Bytes that are not an HTTP answer.
-        BusyUnsaid, ///< Answers 503 without stating whether the request ran.
+        AmbiguousBusy, ///< Answers 503 without stating whether the request ran.
     };
 
     Fault fault = Fault::None;
     int status = 200;
-    core::Duration work = absl::ZeroDuration(); ///< Time before the head of the answer is sent.
+    core::Duration processingTime = absl::ZeroDuration(); ///< Time before the head of the answer is sent.
     std::string body = "the answer";
-    int events = 0; ///< If greater than 0, the answer is a stream of this many events.
-    core::Duration gap = absl::Milliseconds(5); ///< Interval between events.
-    int breakAfter = -1; ///< Resets the connection within the first event whose id is at least this; -1: never.
-    int skipAt = -1; ///< Id of an event that is omitted; -1: none.
+    int eventCount = 0; ///< If greater than 0, the answer is a stream of this many events.
+    core::Duration eventInterval = absl::Milliseconds(5); ///< Interval between events.
+    int resetAtEvent = -1; ///< Resets the connection within the first event whose id is at least this; -1: never.
+    int omittedEvent = -1; ///< Id of an event that is omitted; -1: none.
     bool unframed = false; ///< The end of the connection ends the body.
     std::string retryAfter; ///< Retry-After header of a 503; empty: none.
 };
@@ -66,53 +66,53 @@
 
     Behaviour behaviour;
     std::vector<Behaviour> script; ///< Used for the next requests, one each, before `behaviour`.
-    bool leaving = false; ///< All answers announce that the target shuts down.
-    std::string cold; ///< Remaining warm-up time header of all answers; empty: none.
-    std::string limit; ///< Rate limit header of all answers; empty: none.
-    std::string crashesOn; ///< Body of a request that crashes the process when it runs; empty: none.
-    core::Duration crashAfter = absl::Milliseconds(10); ///< Time from the start of such a request to the crash.
+    bool draining = false; ///< All answers announce that the target shuts down.
+    std::string remainingWarmUp; ///< Remaining warm-up time header of all answers; empty: none.
+    std::string rateLimit; ///< Rate limit header of all answers; empty: none.
+    std::string crashingBody; ///< Body of a request that crashes the process when it runs; empty: none.
+    core::Duration crashDelay = absl::Milliseconds(10); ///< Time from the start of such a request to the crash.
 
     [[nodiscard]] const std::string &id() const noexcept;
     [[nodiscard]] const core::Address &address() const noexcept;
     /// \brief Requests that the target started to run.
-    [[nodiscard]] const std::vector<net::Request> &ran() const noexcept;
+    [[nodiscard]] const std::vector<net::Request> &startedRequests() const noexcept;
     /// \brief All requests that reached the target, including reserve and release requests. There are no health checks.
     [[nodiscard]] const std::vector<Arrival> &arrivals() const noexcept;
     /// \brief Number of reserve and release requests that named another incarnation than the one that got them.
-    [[nodiscard]] int misdirectedOrders() const noexcept;
+    [[nodiscard]] int misdirectedMemoryRequests() const noexcept;
     /// \brief Number of requests whose connection ended before the answer was complete.
-    [[nodiscard]] int abandoned() const noexcept;
+    [[nodiscard]] int abandonedRequests() const noexcept;
     /// \brief Current memory reservations: tokens by id.
-    [[nodiscard]] const std::map<std::string, std::int64_t> &held() const noexcept;
+    [[nodiscard]] const std::map<std::string, std::int64_t> &reservations() const noexcept;
     /// \brief Stops listening: new connections are refused.
-    void stop();
+    void stopListening();
     /// \brief Crashes the process: it stops listening and resets all connections.
     void crash();
     /// \brief Replaces the incarnation silently: requests in progress are never answered and their connections stay
     /// open. The new incarnation listens at the same address and has no reservations.
-    void beginAnew(std::string id);
-    [[nodiscard]] bool crashed() const noexcept;
+    void replaceIncarnation(std::string id);
+    [[nodiscard]] bool hasCrashed() const noexcept;
 
 private:
     [[nodiscard]] net::Task<> serve(net::asio::ip::tcp::socket socket);
     [[nodiscard]] net::Task<bool> answer(core::Ref<net::ServerConnection> connection, net::Request request);
     [[nodiscard]] net::Task<bool> stream(core::Ref<net::ServerConnection> connection, const net::Request &request,
-                                         const Behaviour &how);
-    [[nodiscard]] net::Response order(const net::Request &request);
-    void sayNotices(net::ResponseHead &head) const;
-    [[nodiscard]] net::ResponseHead head(const net::Request &request, const Behaviour &how) const;
+                                         const Behaviour &responseBehaviour);
+    [[nodiscard]] net::Response applyMemoryRequest(const net::Request &request);
+    void addNoticeHeaders(net::ResponseHead &head) const;
+    [[nodiscard]] net::ResponseHead makeHead(const net::Request &request, const Behaviour &responseBehaviour) const;
 
     net::Loop &m_loop;
     std::string m_id;
-    int m_life = 1; ///< Number of the incarnation, from 1.
+    int m_incarnation = 1; ///< Number of the incarnation, from 1.
     net::Listener m_listener;
-    std::vector<net::Request> m_ran;
+    std::vector<net::Request> m_startedRequests;
     std::vector<Arrival> m_arrivals;
-    int m_abandoned = 0;
-    int m_misdirectedOrders = 0;
+    int m_abandonedRequests = 0;
+    int m_misdirectedMemoryRequests = 0;
     bool m_crashed = false;
     std::set<core::Ref<net::ServerConnection>> m_connections; ///< Open connections.
-    std::map<std::string, std::int64_t> m_held;
+    std::map<std::string, std::int64_t> m_reservations;
 };
 
 } // namespace spurlug::test
--- a/tests/platform/overload_test.cpp
+++ b/tests/platform/overload_test.cpp
@@ -18,7 +18,7 @@
 // share of the retry budget was used up (longest_prompts_in_a_burst_of_short_ones, shifted deployment, varied, seed
 // 418597794268). A request that could not be retried waited for the dead engine until its deadline and renewed its
 // reservations at the other engines.
-BOOST_AUTO_TEST_CASE(a_request_whose_engine_is_gone_and_that_may_not_be_repeated_gives_its_memory_back)
+BOOST_AUTO_TEST_CASE(a_request_that_cannot_be_retried_releases_its_memory_when_its_engine_fails)
 {
     RelayFleet fleet;
     auto &route = fleet.configuration["routes"][2];
@@ -26,183 +26,184 @@
     route["timeout_ms"] = 10'000;
     route["slo_ms"] = 2000;
     route["gap_aim_ms"] = 600;
-    fleet.configure();
+    fleet.writeConfiguration();
     for (int i = 0; i < 4; ++i) {
         fleet.addTarget("model").behaviour.fault = Behaviour::Fault::Hang;
     }
-    const auto holding = [&fleet] {
+    const auto countReservingEngines = [&fleet] {
         return std::count_if(fleet.targets.begin(), fleet.targets.end(),
-                             [](const auto &target) { return !target->held().empty(); });
+                             [](const auto &target) { return !target->reservations().empty(); });
     };
-    const auto answering = [&fleet] {
+    const auto findAnsweringEngine = [&fleet] {
         return std::find_if(fleet.targets.begin(), fleet.targets.end(),
-                            [](const auto &target) { return !target->ran().empty(); });
+                            [](const auto &target) { return !target->startedRequests().empty(); });
     };
     fleet.run([&]() -> net::Task<> {
-        co_await fleet.ready();
-        Ask ask;
-        ask.path = "/chat/1";
-        ask.promptTokens = 220'000; // More tokens than the memory of one engine holds.
-        ask.deadlineMs = 9000;
+        co_await fleet.waitUntilReady();
+        CallerRequest request;
+        request.path = "/chat/1";
+        request.promptTokens = 220'000; // More tokens than the memory of one engine holds.
+        request.deadlineMs = 9000;
         bool ended = false;
-        Got got;
+        CallerAnswer answer;
         net::asio::co_spawn(
             fleet.loop,
             [&]() -> net::Task<> {
-                got = co_await fleet.ask(ask);
+                answer = co_await fleet.send(request);
                 ended = true;
             },
             net::asio::detached);
-        while (!ended && answering() == fleet.targets.end()) {
+        while (!ended && findAnsweringEngine() == fleet.targets.end()) {
             co_await net::sleepFor(absl::Milliseconds(5));
         }
-        BOOST_REQUIRE_MESSAGE(!ended, "answered with " << got.status << " " << got.body);
-        BOOST_TEST(holding() > 0);
-        (*answering())->stop();
+        BOOST_REQUIRE_MESSAGE(!ended, "answered with " << answer.status << " " << answer.body);
+        BOOST_TEST(countReservingEngines() > 0);
+        (*findAnsweringEngine())->stopListening();
         while (!ended) {
             co_await net::sleepFor(absl::Milliseconds(20));
         }
-        BOOST_TEST(got.status == 502); // The request may have run.
-        BOOST_TEST(got.body.find("target_silent") != std::string::npos); // The request does not wait for its deadline.
-        while (holding() > 0) {
+        BOOST_TEST(answer.status == 502); // The request may have run.
+        BOOST_TEST(answer.body.find("target_silent")
+                   != std::string::npos); // The request does not wait for its deadline.
+        while (countReservingEngines() > 0) {
             co_await net::sleepFor(absl::Milliseconds(20));
         }
     });
 }
 
-BOOST_AUTO_TEST_CASE(what_no_target_can_take_is_refused_truly_and_told_when_to_come_back)
+BOOST_AUTO_TEST_CASE(requests_beyond_the_capacity_are_refused_with_retry_after)
 {
     RelayFleet fleet;
     auto &target = fleet.addTarget("model", 2);
-    target.behaviour.events = 3;
-    target.behaviour.gap = absl::Milliseconds(300);
+    target.behaviour.eventCount = 3;
+    target.behaviour.eventInterval = absl::Milliseconds(300);
     fleet.run([&]() -> net::Task<> {
-        co_await fleet.ready();
-        constexpr int Requests = 40;
-        std::vector<Got> all;
-        for (int i = 0; i < Requests; ++i) {
+        co_await fleet.waitUntilReady();
+        constexpr int RequestCount = 40;
+        std::vector<CallerAnswer> answers;
+        for (int i = 0; i < RequestCount; ++i) {
             net::asio::co_spawn(
                 fleet.loop,
-                [&fleet, &all]() -> net::Task<> {
-                    Ask ask;
-                    ask.path = "/chat/1";
-                    ask.promptTokens = 1000;
-                    auto got = co_await fleet.ask(ask);
-                    all.push_back(std::move(got));
+                [&fleet, &answers]() -> net::Task<> {
+                    CallerRequest request;
+                    request.path = "/chat/1";
+                    request.promptTokens = 1000;
+                    auto answer = co_await fleet.send(request);
+                    answers.push_back(std::move(answer));
                 },
                 net::asio::detached);
         }
-        while (all.size() < Requests) {
+        while (answers.size() < RequestCount) {
             co_await net::sleepFor(absl::Milliseconds(10));
         }
         int served = 0;
         int refused = 0;
-        for (const auto &got : all) {
-            served += got.status == 200 && got.whole ? 1 : 0;
-            refused += got.status == 503 ? 1 : 0;
-            if (got.status == 503) {
-                BOOST_TEST(got.head.headers.find("Retry-After") != nullptr);
+        for (const auto &answer : answers) {
+            served += answer.status == 200 && answer.isComplete ? 1 : 0;
+            refused += answer.status == 503 ? 1 : 0;
+            if (answer.status == 503) {
+                BOOST_TEST(answer.head.headers.find("Retry-After") != nullptr);
             }
         }
-        BOOST_TEST(served + refused == Requests);
+        BOOST_TEST(served + refused == RequestCount);
         BOOST_TEST(served > 0);
         BOOST_TEST(refused > 0);
         // Refused requests did not run.
-        BOOST_TEST(target.ran().size() == static_cast<std::size_t>(served));
+        BOOST_TEST(target.startedRequests().size() == static_cast<std::size_t>(served));
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_prompt_beyond_one_engine_s_memory_is_spread_and_its_memory_given_back)
+BOOST_AUTO_TEST_CASE(a_prompt_beyond_one_engine_s_memory_is_spread_and_its_memory_released)
 {
     RelayFleet fleet;
     for (int i = 0; i < 4; ++i) {
         auto &target = fleet.addTarget("model");
-        target.behaviour.events = 3;
+        target.behaviour.eventCount = 3;
     }
     fleet.configuration["routes"][2]["slo_ms"] = 5000; // By the configured engine costs, four engines take 3.1 s.
     fleet.configuration["routes"][2]["timeout_ms"] = 8000;
-    fleet.configure();
+    fleet.writeConfiguration();
     fleet.run([&]() -> net::Task<> {
-        co_await fleet.ready();
-        Ask ask;
-        ask.path = "/chat/1";
-        ask.promptTokens = 450'000;
-        ask.deadlineMs = 8000;
-        const auto got = co_await fleet.ask(ask);
-        BOOST_TEST(got.status == 200);
+        co_await fleet.waitUntilReady();
+        CallerRequest request;
+        request.path = "/chat/1";
+        request.promptTokens = 450'000;
+        request.deadlineMs = 8000;
+        const auto answer = co_await fleet.send(request);
+        BOOST_TEST(answer.status == 200);
         std::string helpers;
         for (const auto &target : fleet.targets) {
-            if (!target->ran().empty()) {
-                helpers = std::string(target->ran().front().headers.value("Helpers"));
+            if (!target->startedRequests().empty()) {
+                helpers = std::string(target->startedRequests().front().headers.value("Helpers"));
             }
         }
         BOOST_TEST(helpers.find('/') != std::string::npos);
         co_await net::sleepFor(absl::Milliseconds(100));
         for (const auto &target : fleet.targets) {
-            BOOST_TEST(target->held().empty());
+            BOOST_TEST(target->reservations().empty());
         }
     });
 }
 
-BOOST_AUTO_TEST_CASE(kept_connections_survive_overload_and_failing_engines)
+BOOST_AUTO_TEST_CASE(persistent_connections_survive_overload_and_failing_engines)
 {
     RelayFleet fleet(2);
     for (int i = 0; i < 5; ++i) {
         auto &target = fleet.addTarget("model", 2);
-        target.behaviour.events = 6;
-        target.behaviour.gap = absl::Milliseconds(10 + 10 * i);
+        target.behaviour.eventCount = 6;
+        target.behaviour.eventInterval = absl::Milliseconds(10 + 10 * i);
     }
-    fleet.targets[1]->behaviour.breakAfter = 2;
+    fleet.targets[1]->behaviour.resetAtEvent = 2;
     fleet.targets[2]->behaviour.fault = Behaviour::Fault::Hang;
     fleet.targets[3]->behaviour.fault = Behaviour::Fault::Shed;
-    int answered = 0;
-    int wrong = 0;
-    int running = 0;
+    int completedAnswers = 0;
+    int incompleteAnswers = 0;
+    int runningCallers = 0;
     const auto until = core::now() + absl::Seconds(4);
-    const auto caller = [&](std::size_t daemon, bool leaves) -> net::Task<> {
-        ++running;
+    const auto runCaller = [&](std::size_t daemon, bool disconnects) -> net::Task<> {
+        ++runningCallers;
         while (core::now() < until) {
             net::ClientConnection connection(fleet.loop);
-            const auto problem = co_await connection.connect(fleet.callers(daemon), absl::Seconds(1));
-            bool kept = problem.empty();
-            while (kept && core::now() < until) {
-                Ask ask;
-                ask.path = "/chat/1";
-                ask.promptTokens = 1000;
-                connection.startSend(fleet.write(ask));
-                if (leaves) {
+            const auto error = co_await connection.connect(fleet.callerAddress(daemon), absl::Seconds(1));
+            bool usesConnection = error.empty();
+            while (usesConnection && core::now() < until) {
+                CallerRequest request;
+                request.path = "/chat/1";
+                request.promptTokens = 1000;
+                connection.startSend(fleet.makeRequest(request));
+                if (disconnects) {
                     co_await net::sleepFor(absl::Milliseconds(15));
                     break;
                 }
                 const auto head = co_await connection.readHead(core::now() + absl::Seconds(4));
-                kept = head.has_value();
+                usesConnection = head.has_value();
                 std::string body;
-                while (kept) {
+                while (usesConnection) {
                     auto piece = co_await connection.readBody(core::now() + absl::Seconds(4));
                     body += piece.bytes;
-                    kept = piece.state != net::BodyPiece::State::Broken;
+                    usesConnection = piece.state != net::BodyPiece::State::Failed;
                     if (piece.state == net::BodyPiece::State::Complete) {
-                        ++answered;
-                        wrong += head->status == 200 && body.find("token 5") == std::string::npos ? 1 : 0;
+                        ++completedAnswers;
+                        incompleteAnswers += head->status == 200 && body.find("token 5") == std::string::npos ? 1 : 0;
                         break;
                     }
                 }
-                kept = kept && connection.reusable();
+                usesConnection = usesConnection && connection.isReusable();
             }
         }
-        --running;
+        --runningCallers;
     };
     fleet.run([&]() -> net::Task<> {
-        co_await fleet.ready();
+        co_await fleet.waitUntilReady();
         for (int i = 0; i < 40; ++i) {
-            net::asio::co_spawn(fleet.loop, caller(i % 2, i % 5 == 0), net::asio::detached);
+            net::asio::co_spawn(fleet.loop, runCaller(i % 2, i % 5 == 0), net::asio::detached);
         }
         co_await net::sleepFor(absl::Milliseconds(100));
-        while (running > 0) {
+        while (runningCallers > 0) {
             co_await net::sleepFor(absl::Milliseconds(20));
         }
-        BOOST_TEST(answered > 100);
-        BOOST_TEST(wrong == 0);
+        BOOST_TEST(completedAnswers > 100);
+        BOOST_TEST(incompleteAnswers == 0);
     });
 }
 
--- a/tests/platform/relay_fleet.cpp
+++ b/tests/platform/relay_fleet.cpp
@@ -17,29 +17,29 @@
 namespace
 {
 
-constexpr auto LongestTest = absl::Seconds(20);
+constexpr auto MaxTestDuration = absl::Seconds(20);
 
 /// Returns a port that is free now and below the kernel's ephemeral ports. An ephemeral port may become the local port
 /// of a connection before the daemon binds it.
 template<typename Protocol>
 std::uint16_t freePort(net::Loop &loop)
 {
-    constexpr std::uint16_t First = 10'000;
-    constexpr std::uint16_t Last = 32'000;
-    static auto next = static_cast<std::uint16_t>(First + std::random_device()() % (Last - First));
+    constexpr std::uint16_t FirstPort = 10'000;
+    constexpr std::uint16_t LastPort = 32'000;
+    static auto nextPort = static_cast<std::uint16_t>(FirstPort + std::random_device()() % (LastPort - FirstPort));
     for (;;) {
-        next = next == Last ? First : static_cast<std::uint16_t>(next + 1);
+        nextPort = nextPort == LastPort ? FirstPort : static_cast<std::uint16_t>(nextPort + 1);
         boost::system::error_code error;
         typename Protocol::socket socket(loop);
-        const typename Protocol::endpoint endpoint(net::asio::ip::make_address("127.0.0.1"), next);
+        const typename Protocol::endpoint endpoint(net::asio::ip::make_address("127.0.0.1"), nextPort);
         socket.open(endpoint.protocol(), error);
         if (!error && !socket.bind(endpoint, error)) {
-            return next;
+            return nextPort;
         }
     }
 }
 
-nlohmann::json route(const std::string &name, const std::string &kind, const std::string &service)
+nlohmann::json makeRoute(const std::string &name, const std::string &kind, const std::string &service)
 {
     return {{"name", name},     {"host", "ferry.example"}, {"path_prefix", "/" + name + "/"},
             {"kind", kind},     {"timeout_ms", 3000},      {"slo_ms", 100},
@@ -50,14 +50,14 @@
 
 nlohmann::json initialConfiguration()
 {
-    auto open = route("open", "safe", "app");
-    open["public"] = true;
+    auto publicRoute = makeRoute("open", "safe", "app");
+    publicRoute["public"] = true;
     auto engine = nlohmann::json{{"slots", 16},          {"kv_cache_tokens", 200000}, {"stride", 4},
                                  {"step_ms", 1.0},       {"per_seq_ms", 0.01},        {"context_per_k", 0.01},
                                  {"read_per_s", 200000}, {"pairs_per_m", 0.1},        {"chunk", 2048}};
     return {{"routes",
-             {route("plain", "unsafe", "app"), route("safe", "safe", "app"), route("chat", "streaming", "model"),
-              std::move(open)}},
+             {makeRoute("plain", "unsafe", "app"), makeRoute("safe", "safe", "app"),
+              makeRoute("chat", "streaming", "model"), std::move(publicRoute)}},
             {"services",
              {{{"name", "app"}, {"health_path", "/health"}, {"max_conns", 100}, {"protocol", "h1"}},
               {{"name", "model"}, {"health_path", "/health"}, {"max_conns", 100}, {"engine", std::move(engine)}}}},
@@ -76,7 +76,7 @@
     , configuration(initialConfiguration())
     , m_peers(peers)
 {
-    configure();
+    writeConfiguration();
     for (int number = 1; number <= daemons; ++number) {
         addDaemon();
     }
@@ -90,66 +90,67 @@
 void RelayFleet::addDaemon()
 {
     const auto number = m_daemons.size() + 1;
-    const bool joined = m_peers == Peers::Joined;
-    const std::string host = joined ? core::cat("127.0.0.", number) : "127.0.0.1";
-    const auto tcp = [&] { return core::Address{host, freePort<net::asio::ip::tcp>(loop)}; };
+    const bool isConnected = m_peers == Peers::Connected;
+    const std::string host = isConnected ? core::cat("127.0.0.", number) : "127.0.0.1";
+    const auto freeTcpAddress = [&] { return core::Address{host, freePort<net::asio::ip::tcp>(loop)}; };
     settings::RelaySettings settings;
     settings.vm = core::cat("vm-", number);
     settings.failureDomain = "hall-a";
-    settings.callerAddress = tcp();
-    settings.readinessAddress = tcp();
-    settings.controlAddress = tcp();
-    settings.metricsAddress = tcp();
+    settings.callerAddress = freeTcpAddress();
+    settings.readinessAddress = freeTcpAddress();
+    settings.controlAddress = freeTcpAddress();
+    settings.metricsAddress = freeTcpAddress();
     settings.peerAddress = {host, freePort<net::asio::ip::udp>(loop)};
-    if (joined && !m_daemons.empty()) {
+    if (isConnected && !m_daemons.empty()) {
         settings.peerAddress.port = m_daemons.front().settings.peerAddress.port; // All daemons use the same port.
     }
-    for (std::size_t i = 0; joined && i < std::min<std::size_t>(m_daemons.size(), 3); ++i) {
+    for (std::size_t i = 0; isConnected && i < std::min<std::size_t>(m_daemons.size(), 3); ++i) {
         settings.seeds.push_back(m_daemons[i].settings.controlAddress);
     }
     settings.store = store.address();
     settings.bounds.grace = absl::Seconds(5);
     settings.bounds.evacuate = absl::Seconds(5);
-    start(std::move(settings));
+    startDaemon(std::move(settings));
 }
 
-void RelayFleet::start(settings::RelaySettings settings)
+void RelayFleet::startDaemon(settings::RelaySettings settings)
 {
-    Place place;
-    place.settings = std::move(settings);
-    place.directory = std::make_unique<platform::StoreDirectory>(loop, place.settings.store, absl::Milliseconds(500));
-    place.daemon
-        = std::make_unique<Daemon>(loop, place.settings, "/dev/null", platform::RequestCodec(), *place.directory);
-    m_daemons.push_back(std::move(place));
+    DaemonInstance instance;
+    instance.settings = std::move(settings);
+    instance.directory
+        = std::make_unique<platform::StoreDirectory>(loop, instance.settings.store, absl::Milliseconds(500));
+    instance.daemon
+        = std::make_unique<Daemon>(loop, instance.settings, "/dev/null", platform::RequestCodec(), *instance.directory);
+    m_daemons.push_back(std::move(instance));
     m_daemons.back().daemon->start();
 }
 
-void RelayFleet::configure()
+void RelayFleet::writeConfiguration()
 {
-    configuration["version"] = ++m_version;
+    configuration["version"] = ++m_configurationVersion;
     store.put("config", "main", configuration);
 }
 
 FakeTarget &RelayFleet::addTarget(const std::string &service, int slots)
 {
     auto target = std::make_unique<FakeTarget>(loop, core::cat("i-", targets.size() + 1));
-    announce(*target, service, "ready", slots);
+    writeEntry(*target, service, "ready", slots);
     targets.push_back(std::move(target));
     return *targets.back();
 }
 
-void RelayFleet::announce(const FakeTarget &target, const std::string &service, const std::string &state, int slots)
+void RelayFleet::writeEntry(const FakeTarget &target, const std::string &service, const std::string &state, int slots)
 {
-    auto entry = entryOf(target, service, state);
+    auto entry = makeEntry(target, service, state);
     entry["slots"] = slots;
     store.put("servers", target.id(), entry);
 }
 
-void RelayFleet::announceIn(const std::string &failureDomain, const FakeTarget &target, int coldMs)
+void RelayFleet::writeAppEntry(const std::string &failureDomain, const FakeTarget &target, int remainingWarmUpMs)
 {
-    auto entry = entryOf(target, "app");
+    auto entry = makeEntry(target, "app");
     entry["zone"] = failureDomain;
-    entry["cold_remaining_ms"] = coldMs;
+    entry["cold_remaining_ms"] = remainingWarmUpMs;
     store.put("servers", target.id(), entry);
 }
 
@@ -158,13 +159,13 @@
     store.put("evacuations", failureDomain, nlohmann::json::object());
 }
 
-void RelayFleet::takeBack(const std::string &failureDomain)
+void RelayFleet::endEvacuation(const std::string &failureDomain)
 {
     store.remove("evacuations", failureDomain);
 }
 
-nlohmann::json RelayFleet::entryOf(const FakeTarget &target, const std::string &service, const std::string &state,
-                                   std::int64_t startMs)
+nlohmann::json RelayFleet::makeEntry(const FakeTarget &target, const std::string &service, const std::string &state,
+                                     std::int64_t startMs)
 {
     nlohmann::json entry{{"service", service},
                          {"address", target.address().text()},
@@ -184,13 +185,13 @@
 {
     std::exception_ptr failure;
     bool done = false;
-    net::asio::co_spawn(loop, test(), [&](std::exception_ptr thrown) {
-        failure = thrown;
+    net::asio::co_spawn(loop, test(), [&](std::exception_ptr exception) {
+        failure = exception;
         done = true;
         loop.stop();
     });
-    net::Timer limit(loop, net::timerSpan(LongestTest));
-    limit.async_wait([this](const boost::system::error_code &error) {
+    net::Timer timeout(loop, net::toTimerDuration(MaxTestDuration));
+    timeout.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             loop.stop();
         }
@@ -202,110 +203,110 @@
     }
 }
 
-net::Request RelayFleet::write(const Ask &ask)
+net::Request RelayFleet::makeRequest(const CallerRequest &callerRequest)
 {
     net::Request request;
-    request.method = ask.method;
-    request.target = ask.path;
-    request.body = ask.body;
-    request.hasBody = !ask.body.empty();
+    request.method = callerRequest.method;
+    request.target = callerRequest.path;
+    request.body = callerRequest.body;
+    request.hasBody = !callerRequest.body.empty();
     request.headers.add("Host", "ferry.example");
-    request.headers.add("Attempt-Id", core::cat("request-", ++m_requests));
-    request.headers.add("Deadline-Ms", core::cat(ask.deadlineMs));
-    if (!ask.key.empty()) {
-        request.headers.add("Authorization", core::cat("Bearer ", ask.key));
+    request.headers.add("Attempt-Id", core::cat("request-", ++m_requestCount));
+    request.headers.add("Deadline-Ms", core::cat(callerRequest.deadlineMs));
+    if (!callerRequest.apiKey.empty()) {
+        request.headers.add("Authorization", core::cat("Bearer ", callerRequest.apiKey));
     }
-    if (ask.promptTokens > 0) {
+    if (callerRequest.promptTokens > 0) {
         request.headers.add("Model", "m");
-        request.headers.add("Token-Usage", core::cat(ask.promptTokens, ",", ask.answerTokens));
-        request.headers.add("Prompt-Prefix", core::cat("5c1e07a2:", ask.promptTokens));
+        request.headers.add("Token-Usage", core::cat(callerRequest.promptTokens, ",", callerRequest.answerTokens));
+        request.headers.add("Prompt-Prefix", core::cat("5c1e07a2:", callerRequest.promptTokens));
     }
-    for (const auto &[name, value] : ask.headers) {
+    for (const auto &[name, value] : callerRequest.headers) {
         request.headers.add(name, value);
     }
     return request;
 }
 
-net::Task<Got> RelayFleet::ask(Ask ask, std::size_t daemon)
+net::Task<CallerAnswer> RelayFleet::send(CallerRequest ask, std::size_t daemon)
 {
-    const auto begin = core::now();
-    Got got;
+    const auto startedAt = core::now();
+    CallerAnswer answer;
     net::ClientConnection connection(loop);
-    const auto problem = co_await connection.connect(callers(daemon), absl::Seconds(1));
-    if (!problem.empty()) {
-        co_return got;
+    const auto error = co_await connection.connect(callerAddress(daemon), absl::Seconds(1));
+    if (!error.empty()) {
+        co_return answer;
     }
-    connection.startSend(write(ask));
-    const auto until = begin + absl::Seconds(15);
-    auto head = co_await connection.readHead(until);
-    got.took = core::now() - begin;
+    connection.startSend(makeRequest(ask));
+    const auto deadline = startedAt + absl::Seconds(15);
+    auto head = co_await connection.readHead(deadline);
+    answer.timeToHead = core::now() - startedAt;
     if (!head) {
-        co_return got;
+        co_return answer;
     }
-    got.status = head->status;
-    got.head = std::move(*head);
+    answer.status = head->status;
+    answer.head = std::move(*head);
     for (;;) {
-        auto piece = co_await connection.readBody(until);
-        got.body += piece.bytes;
+        auto piece = co_await connection.readBody(deadline);
+        answer.body += piece.bytes;
         if (piece.state != net::BodyPiece::State::More) {
-            got.whole = piece.state == net::BodyPiece::State::Complete;
-            co_return got;
+            answer.isComplete = piece.state == net::BodyPiece::State::Complete;
+            co_return answer;
         }
     }
 }
 
-const core::Address &RelayFleet::callers(std::size_t daemon) const
+const core::Address &RelayFleet::callerAddress(std::size_t daemon) const
 {
     return m_daemons.at(daemon).settings.callerAddress;
 }
 
-void RelayFleet::stop(std::size_t daemon)
+void RelayFleet::startShutdown(std::size_t daemon)
 {
     m_daemons.at(daemon).daemon->stop();
 }
 
-net::Task<std::optional<net::Response>> RelayFleet::read(core::Address address, std::string path)
+net::Task<std::optional<net::Response>> RelayFleet::httpGet(core::Address address, std::string path)
 {
     net::Request request;
     request.method = "GET";
     request.target = std::move(path);
-    std::string problem;
+    std::string error;
     co_return co_await net::exchange(loop, std::move(address), std::move(request), core::now() + absl::Seconds(1),
-                                     problem);
+                                     error);
 }
 
-net::Task<int> RelayFleet::readiness(std::size_t daemon)
+net::Task<int> RelayFleet::readinessStatus(std::size_t daemon)
 {
-    const auto answer = co_await read(m_daemons.at(daemon).settings.readinessAddress, "/v1/ready");
+    const auto answer = co_await httpGet(m_daemons.at(daemon).settings.readinessAddress, "/v1/ready");
     co_return answer ? answer->head.status : 0;
 }
 
-net::Task<double> RelayFleet::figure(std::string name, std::size_t daemon)
+net::Task<double> RelayFleet::metric(std::string name, std::size_t daemon)
 {
-    const auto answer = co_await read(m_daemons.at(daemon).settings.metricsAddress, "/metrics");
-    const auto line = core::cat("\nspurlug_", name, " ");
-    const auto found = answer ? answer->body.find(line) : std::string::npos;
-    co_return found == std::string::npos ? 0 : std::stod(answer->body.substr(found + line.size()));
+    const auto answer = co_await httpGet(m_daemons.at(daemon).settings.metricsAddress, "/metrics");
+    const auto linePrefix = core::cat("\nspurlug_", name, " ");
+    const auto found = answer ? answer->body.find(linePrefix) : std::string::npos;
+    co_return found == std::string::npos ? 0 : std::stod(answer->body.substr(found + linePrefix.size()));
 }
 
-net::Task<> RelayFleet::joined()
+net::Task<> RelayFleet::waitUntilConnected()
 {
-    constexpr double Rounds = 5; // Each daemon has heard all others several times by then.
-    const auto enough = Rounds * static_cast<double>(m_daemons.size());
+    constexpr double HeartbeatsPerDaemon = 5; // Each daemon has heard all others several times by then.
+    const auto requiredHeartbeats = HeartbeatsPerDaemon * static_cast<double>(m_daemons.size());
     for (std::size_t daemon = 0; daemon < m_daemons.size(); ++daemon) {
-        double heard = 0;
-        while (heard < enough) {
-            heard = co_await figure("heartbeats_received_total", daemon);
+        double receivedHeartbeats = 0;
+        while (receivedHeartbeats < requiredHeartbeats) {
+            receivedHeartbeats = co_await metric("heartbeats_received_total", daemon);
             co_await net::sleepFor(absl::Milliseconds(20));
         }
     }
 }
 
-net::Task<> RelayFleet::ready()
+net::Task<> RelayFleet::waitUntilReady()
 {
     for (std::size_t daemon = 0; daemon < m_daemons.size(); ++daemon) {
         for (;;) {
-            const auto status = co_await readiness(daemon);
+            const auto status = co_await readinessStatus(daemon);
             if (status == core::http_status::Ok) {
                 break;
             }
--- a/tests/platform/relay_fleet.h
+++ b/tests/platform/relay_fleet.h
@@ -21,11 +21,11 @@
 {
 
 /// \brief A caller's request.
-struct Ask
+struct CallerRequest
 {
     std::string path = "/plain/1";
     std::string method = "POST";
-    std::string key = "key-1"; ///< API key; empty: the request has none.
+    std::string apiKey = "key-1"; ///< API key; empty: the request has none.
     std::int64_t deadlineMs = 3000;
     std::string body = "the question";
     std::int64_t promptTokens = 0; ///< 0: the request has no prompt.
@@ -34,20 +34,20 @@
 };
 
 /// \brief The answer that a caller got.
-struct Got
+struct CallerAnswer
 {
     int status = 0; ///< 0: no answer.
     net::ResponseHead head;
     std::string body;
-    bool whole = false;
-    core::Duration took;
+    bool isComplete = false;
+    core::Duration timeToHead;
 };
 
 /// \brief Whether the daemons of a fleet know each other.
 enum class Peers
 {
-    Apart,
-    Joined, ///< Each daemon has an address of its own and uses the first three as seeds.
+    Isolated,
+    Connected, ///< Each daemon has an address of its own and uses the first three as seeds.
 };
 
 /// \brief A store, targets and daemons on one event loop; a test is a coroutine on this loop.
@@ -56,7 +56,7 @@
 public:
     using Daemon = relay::RelayDaemon<platform::RequestCodec, platform::StoreDirectory>;
 
-    explicit RelayFleet(int daemons = 1, Peers peers = Peers::Apart);
+    explicit RelayFleet(int daemons = 1, Peers peers = Peers::Isolated);
     ~RelayFleet();
 
     /// \brief Runs a test to its end, for at most 20 s, and rethrows its exceptions.
@@ -65,40 +65,40 @@
     /// \brief Adds a process of a service and its entry in the store.
     FakeTarget &addTarget(const std::string &service, int slots = 16);
     /// \brief Writes the entry of a target, replacing an earlier one.
-    void announce(const FakeTarget &target, const std::string &service, const std::string &state = "ready",
-                  int slots = 16);
+    void writeEntry(const FakeTarget &target, const std::string &service, const std::string &state = "ready",
+                    int slots = 16);
     /// \brief Returns the store entry of a target.
     /// \param startMs Start of the target's incarnation in Unix milliseconds; 0: the entry has none.
-    [[nodiscard]] static nlohmann::json entryOf(const FakeTarget &target, const std::string &service,
-                                                const std::string &state = "ready", std::int64_t startMs = 0);
+    [[nodiscard]] static nlohmann::json makeEntry(const FakeTarget &target, const std::string &service,
+                                                  const std::string &state = "ready", std::int64_t startMs = 0);
     /// \brief Writes the entry of a target of the service "app" in a failure domain.
-    /// \param coldMs Remaining warm-up time in milliseconds.
-    void announceIn(const std::string &failureDomain, const FakeTarget &target, int coldMs = 0);
+    /// \param remainingWarmUpMs Remaining warm-up time in milliseconds.
+    void writeAppEntry(const std::string &failureDomain, const FakeTarget &target, int remainingWarmUpMs = 0);
     /// \brief Writes the operator's evacuation of a failure domain.
     void evacuate(const std::string &failureDomain);
     /// \brief Ends the evacuation of a failure domain.
-    void takeBack(const std::string &failureDomain);
+    void endEvacuation(const std::string &failureDomain);
     /// \brief Writes the next version of the configuration.
-    void configure();
+    void writeConfiguration();
 
     /// \brief Sends a request over a new connection and waits for the answer.
-    [[nodiscard]] net::Task<Got> ask(Ask ask, std::size_t daemon = 0);
+    [[nodiscard]] net::Task<CallerAnswer> send(CallerRequest ask, std::size_t daemon = 0);
     /// \brief Returns the HTTP request that is sent for a caller's request, with a new id.
-    [[nodiscard]] net::Request write(const Ask &ask);
+    [[nodiscard]] net::Request makeRequest(const CallerRequest &callerRequest);
     /// \brief Waits until every daemon reports that it is ready.
-    [[nodiscard]] net::Task<> ready();
+    [[nodiscard]] net::Task<> waitUntilReady();
     /// \brief Waits until every daemon has received several heartbeats of the others.
-    [[nodiscard]] net::Task<> joined();
+    [[nodiscard]] net::Task<> waitUntilConnected();
     /// \brief Returns the value of a daemon's metric by its name without the prefix; 0 if the metric is missing.
-    [[nodiscard]] net::Task<double> figure(std::string name, std::size_t daemon = 0);
+    [[nodiscard]] net::Task<double> metric(std::string name, std::size_t daemon = 0);
     /// \brief Starts another daemon. If the daemons know each other, its seeds are the first three.
     void addDaemon();
     /// \brief Starts the graceful shutdown of a daemon.
-    void stop(std::size_t daemon = 0);
+    void startShutdown(std::size_t daemon = 0);
     /// \brief Returns the HTTP status of a daemon's readiness check; 0: no answer.
-    [[nodiscard]] net::Task<int> readiness(std::size_t daemon = 0);
+    [[nodiscard]] net::Task<int> readinessStatus(std::size_t daemon = 0);
     /// \brief Returns the address at which a daemon accepts callers.
-    [[nodiscard]] const core::Address &callers(std::size_t daemon = 0) const;
+    [[nodiscard]] const core::Address &callerAddress(std::size_t daemon = 0) const;
 
     net::Loop loop;
     FakeStore store;
@@ -106,10 +106,10 @@
     std::vector<std::unique_ptr<FakeTarget>> targets;
 
 private:
-    void start(settings::RelaySettings settings);
-    [[nodiscard]] net::Task<std::optional<net::Response>> read(core::Address address, std::string path);
+    void startDaemon(settings::RelaySettings settings);
+    [[nodiscard]] net::Task<std::optional<net::Response>> httpGet(core::Address address, std::string path);
 
-    struct Place
+    struct DaemonInstance
     {
         settings::RelaySettings settings;
         std::unique_ptr<platform::StoreDirectory> directory;
@@ -117,9 +117,9 @@
     };
 
     const Peers m_peers;
-    std::vector<Place> m_daemons;
-    std::int64_t m_version = 0;
-    int m_requests = 0;
+    std::vector<DaemonInstance> m_daemons;
+    std::int64_t m_configurationVersion = 0;
+    int m_requestCount = 0;
 };
 
 } // namespace spurlug::test
--- a/tests/platform/settings_template_test.cpp
+++ b/tests/platform/settings_template_test.cpp
@@ -24,7 +24,7 @@
 using namespace spurlug;
 
 /// Returns the fields of the users' example and their values as JSON.
-std::map<std::string, std::string> fields()
+std::map<std::string, std::string> exampleFields()
 {
     return {{"node_name", "\"front-1\""},
             {"zone", "\"hall-a\""},
@@ -46,7 +46,7 @@
             {"bounds.free_ms", "4000"}};
 }
 
-std::string templateText()
+std::string readTemplate()
 {
     std::ifstream file("platform/settings.json.template");
     std::stringstream text;
@@ -56,7 +56,7 @@
 
 /// Expands what the template uses: fields, sections that depend on whether their field is given, and the list of
 /// failure domains.
-std::string fill(std::string text, const std::map<std::string, std::string> &values)
+std::string expandTemplate(std::string text, const std::map<std::string, std::string> &values)
 {
     const std::regex section("\\{\\{#((?!zones)[^}]*)\\}\\}([^#]*)\\{\\{/\\1\\}\\}");
     for (std::smatch found; std::regex_search(text, found, section);) {
@@ -72,10 +72,10 @@
     return text;
 }
 
-settings::RelaySettings load(const std::map<std::string, std::string> &values)
+settings::RelaySettings loadExpanded(const std::map<std::string, std::string> &values)
 {
     const auto path = std::filesystem::temp_directory_path() / "spurlug-settings-template-test.json";
-    std::ofstream(path) << fill(templateText(), values);
+    std::ofstream(path) << expandTemplate(readTemplate(), values);
     auto loaded = settings::loadRelaySettings(path.string());
     std::filesystem::remove(path);
     return loaded;
@@ -85,26 +85,26 @@
 
 BOOST_AUTO_TEST_SUITE(settings_template)
 
-BOOST_AUTO_TEST_CASE(a_deployment_without_evacuations_gives_settings_that_are_taken)
+BOOST_AUTO_TEST_CASE(a_deployment_without_evacuations_gives_valid_settings)
 {
-    const auto settings = load(fields());
+    const auto settings = loadExpanded(exampleFields());
     BOOST_TEST((settings.bounds.evacuate == absl::ZeroDuration()));
     BOOST_TEST(settings.failureDomains.size() == 2U);
     BOOST_TEST((settings.bounds.freeAfter == absl::Milliseconds(4000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_deployment_with_evacuations_gives_their_bound)
+BOOST_AUTO_TEST_CASE(a_deployment_with_evacuations_sets_their_bound)
 {
-    auto values = fields();
+    auto values = exampleFields();
     values["bounds.evacuate_ms"] = "5000";
-    BOOST_TEST((load(values).bounds.evacuate == absl::Seconds(5)));
+    BOOST_TEST((loadExpanded(values).bounds.evacuate == absl::Seconds(5)));
 }
 
-BOOST_AUTO_TEST_CASE(the_heartbeats_of_targets_are_taken_where_they_are_given)
+BOOST_AUTO_TEST_CASE(the_heartbeat_interval_of_targets_is_set_if_it_is_given)
 {
-    auto values = fields();
+    auto values = exampleFields();
     values["heartbeat_ms"] = "1500";
-    BOOST_TEST((load(values).bounds.targetHeartbeat == absl::Milliseconds(1500)));
+    BOOST_TEST((loadExpanded(values).bounds.targetHeartbeat == absl::Milliseconds(1500)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/property/claims_property.cpp
+++ b/tests/property/claims_property.cpp
@@ -3,7 +3,7 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "fake_api.h"
+#include "fake_object_api.h"
 #include "property.h"
 
 #include "spurlug/claims/commit.h"
@@ -12,19 +12,19 @@
 #include <set>
 
 using namespace spurlug;
-using property::FakeApi;
+using property::FakeObjectApi;
 using property::FakeState;
-using property::genFaults;
+using property::generateFaults;
 
 BOOST_AUTO_TEST_SUITE(claims_properties)
 
 /// With two committing owners, lost answers and an unavailable platform, no two requests acquire the same key within
 /// its retention time unless the first one released it. A request that finds a key held is told which request holds it.
-BOOST_AUTO_TEST_CASE(a_key_has_one_winner)
+BOOST_AUTO_TEST_CASE(a_key_is_acquired_by_one_request_at_a_time)
 {
     CHECK_PROPERTY("claims", [] {
         FakeState state;
-        const FakeApi api(state);
+        const FakeObjectApi api(state);
         int number = 0;
         std::int64_t now = 1'000'000;
         std::map<std::string, std::string> holder; // Oracle: the request that may run, by key.
@@ -71,14 +71,14 @@
             }
         };
         // The other owner commits in the middle of this owner's round, between its read and its update.
-        state.otherAuthor = [&] {
+        state.concurrentWrite = [&] {
             const auto faults = std::exchange(state.faults, {});
             round();
             state.faults = faults;
         };
         const auto rounds = *rc::gen::inRange(1, 12);
         for (int i = 0; i < rounds; ++i) {
-            state.faults = *genFaults();
+            state.faults = *generateFaults();
             now += *rc::gen::inRange(0, 5);
             round();
         }
@@ -88,9 +88,9 @@
 BOOST_AUTO_TEST_CASE(old_claims_are_dropped)
 {
     claims::ClaimTable table{{"a", {"r1", 1000}}, {"b", {"r2", 1500}}};
-    claims::dropOld(table, 1000 + claims::KeptSeconds + 1);
+    claims::dropExpired(table, 1000 + claims::ClaimLifetimeSeconds + 1);
     BOOST_TEST(table.size() == 1);
-    BOOST_TEST(claims::readShard(claims::writeShard(table)).at("b").requestId == "r2");
+    BOOST_TEST(claims::parseShard(claims::serialiseShard(table)).at("b").requestId == "r2");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/property/config_property.cpp
+++ b/tests/property/config_property.cpp
@@ -3,7 +3,7 @@
 // SPDX-License-Identifier: MIT
 //----------------------------------------------------------------------------------------------------------------------
 
-#include "fake_api.h"
+#include "fake_object_api.h"
 #include "property.h"
 
 #include "spurlug/config/apply.h"
@@ -13,14 +13,14 @@
 #include <set>
 
 using namespace spurlug;
-using property::FakeApi;
+using property::FakeObjectApi;
 using property::FakeState;
-using property::genFaults;
+using property::generateFaults;
 
 namespace
 {
 
-nlohmann::json documentNumber(int number)
+nlohmann::json makeDocument(int number)
 {
     return {{"organisations", {{{"name", "o" + std::to_string(number)}}}},
             {"classes", {{{"name", "c"}, {"priority", number}}}}};
@@ -32,18 +32,18 @@
 
 /// A change is committed exactly once if its author was told that it succeeded, and never if the author was told that
 /// it failed. Generations increase by one.
-BOOST_AUTO_TEST_CASE(racing_authors_learn_the_truth)
+BOOST_AUTO_TEST_CASE(concurrent_authors_learn_whether_their_change_was_committed)
 {
     CHECK_PROPERTY("apply", [] {
         FakeState state;
-        const FakeApi api(state);
+        const FakeObjectApi api(state);
         int number = 0;
         std::map<std::string, bool> told;
         const auto author = [&](const std::string &name) {
             const auto changeId = name + std::to_string(++number);
             try {
-                const auto document = documentNumber(number);
-                config::applyDocument(api, document, config::readStoredRoot(api), changeId, name);
+                const auto document = makeDocument(number);
+                config::applyConfiguration(api, document, config::readStoredRoot(api), changeId, name);
                 told[changeId] = true;
             } catch (const core::VersionConflict &) {
                 told[changeId] = false;
@@ -53,15 +53,15 @@
                 return;
             }
         };
-        state.otherAuthor = [&] { author("other"); };
+        state.concurrentWrite = [&] { author("other"); };
         const auto rounds = *rc::gen::inRange(1, 8);
         for (int round = 0; round < rounds; ++round) {
-            state.faults = *genFaults();
+            state.faults = *generateFaults();
             author("main");
         }
         std::vector<config::Root> committed;
-        for (const auto &value : state.written[std::string(config::RootObject)]) {
-            committed.push_back(config::readRoot(value));
+        for (const auto &value : state.writtenValues[std::string(config::RootObjectName)]) {
+            committed.push_back(config::parseRoot(value));
         }
         std::multiset<std::string> inForce;
         for (std::size_t i = 0; i < committed.size(); ++i) {
@@ -76,15 +76,15 @@
 
 /// A daemon that receives root objects out of order, repeatedly, late or corrupted never returns to an older
 /// generation, and ends at the newest valid one that it received.
-BOOST_AUTO_TEST_CASE(no_daemon_ever_goes_back)
+BOOST_AUTO_TEST_CASE(a_daemon_never_returns_to_an_older_generation)
 {
     CHECK_PROPERTY("follow", [] {
         const auto generations = *rc::gen::inRange(1, 8);
         std::vector<std::pair<std::string, config::PartTexts>> roots;
         for (int i = 1; i <= generations; ++i) {
-            const auto split = config::splitDocument(documentNumber(i));
+            const auto split = config::splitDocument(makeDocument(i));
             const config::Root root{i, "c" + std::to_string(i), "a", split.parts, {}};
-            roots.emplace_back(config::writeRoot(root), split.texts);
+            roots.emplace_back(config::serialiseRoot(root), split.texts);
         }
         std::vector<std::int64_t> applied;
         config::Store store([&](const auto &configuration) { applied.push_back(configuration->generation); });
--- a/tests/property/crash_property.cpp
+++ b/tests/property/crash_property.cpp
@@ -28,13 +28,13 @@
 constexpr int StepMs = 50;
 constexpr int Steps = 400; ///< 20 s.
 /// A daemon that was neither restarted nor partitioned for this long must know of the crashes.
-constexpr int ContactSteps = 3000 / StepMs;
-constexpr int RunSteps = 4; ///< From a send until its target crashes.
+constexpr int ReportSpreadSteps = 3000 / StepMs;
+constexpr int StepsUntilCrash = 4; ///< From a send until its target crashes.
 /// Maximum number of sends after that time; the users require this limit.
-constexpr int MostLateSends = 3;
+constexpr int MaxLateSends = 3;
 
-const core::Digest Deadly = core::digestOf({"the end"});
-const core::Digest Popular = core::digestOf({"everybody asks this"});
+const core::Digest CrashingContent = core::digestOf({"the end"});
+const core::Digest PopularContent = core::digestOf({"everybody asks this"});
 
 core::Time timeOf(int step)
 {
@@ -43,45 +43,46 @@
 
 /// The faults in one run of a fleet, with times in steps. A partition separates the daemons with an odd number from the
 /// others.
-struct Course
+struct Scenario
 {
     int daemons = 1;
-    double loss = 0; ///< Share of datagrams that are lost.
-    int longestDelay = 1; ///< Maximum delay of a datagram in steps; datagrams may be reordered.
-    int copiesEvery = 1; ///< Interval in steps at which the content that crashes targets is sent.
-    int cutFrom = 0;
-    int cutUntil = 0;
-    int killedAt = 0;
-    int killed = 0; ///< Number of daemons that restart at that step.
+    double lossRate = 0; ///< Share of datagrams that are lost.
+    int maxDelaySteps = 1; ///< Maximum delay of a datagram in steps; datagrams may be reordered.
+    int sendIntervalSteps = 1; ///< Interval in steps at which the content that crashes targets is sent.
+    int partitionFrom = 0;
+    int partitionUntil = 0;
+    int restartAt = 0;
+    int restartedDaemons = 0; ///< Number of daemons that restart at that step.
     std::uint32_t seed = 0;
 };
 
-rc::Gen<Course> courses()
+rc::Gen<Scenario> scenarios()
 {
     return rc::gen::exec([] {
-        Course course;
-        course.daemons = *rc::gen::inRange(2, 40);
-        course.loss = *rc::gen::inRange(0, 30) / 100.0;
-        course.longestDelay = *rc::gen::inRange(1, 6);
-        course.copiesEvery = *rc::gen::inRange(1, 40);
-        course.cutFrom = *rc::gen::inRange(0, Steps);
-        course.cutUntil = *rc::gen::inRange(course.cutFrom, Steps + 1);
-        course.killedAt = *rc::gen::inRange(0, Steps);
-        course.killed = *rc::gen::inRange(0, course.daemons); // Not all daemons: crash counts are held only by daemons.
-        course.seed = *rc::gen::arbitrary<std::uint32_t>();
-        return course;
+        Scenario scenario;
+        scenario.daemons = *rc::gen::inRange(2, 40);
+        scenario.lossRate = *rc::gen::inRange(0, 30) / 100.0;
+        scenario.maxDelaySteps = *rc::gen::inRange(1, 6);
+        scenario.sendIntervalSteps = *rc::gen::inRange(1, 40);
+        scenario.partitionFrom = *rc::gen::inRange(0, Steps);
+        scenario.partitionUntil = *rc::gen::inRange(scenario.partitionFrom, Steps + 1);
+        scenario.restartAt = *rc::gen::inRange(0, Steps);
+        scenario.restartedDaemons
+            = *rc::gen::inRange(0, scenario.daemons); // Not all daemons: crash counts are held only by daemons.
+        scenario.seed = *rc::gen::arbitrary<std::uint32_t>();
+        return scenario;
     });
 }
 
 class Fleet
 {
 public:
-    explicit Fleet(const Course &course)
-        : m_course(course)
-        , m_random(course.seed)
+    explicit Fleet(const Scenario &scenario)
+        : m_scenario(scenario)
+        , m_random(scenario.seed)
     {
-        for (int i = 0; i < course.daemons; ++i) {
-            m_daemons.push_back(start(i));
+        for (int i = 0; i < scenario.daemons; ++i) {
+            m_daemons.push_back(makeDaemon(i));
             m_disturbedAt.push_back(-Steps);
         }
     }
@@ -96,45 +97,45 @@
         return *m_daemons[static_cast<std::size_t>(number)]->exchange;
     }
 
-    int draw()
+    int randomDaemon()
     {
-        return std::uniform_int_distribution<int>(0, m_course.daemons - 1)(m_random);
+        return std::uniform_int_distribution<int>(0, m_scenario.daemons - 1)(m_random);
     }
 
-    /// Whether a daemon was neither restarted nor partitioned within the last ContactSteps.
-    [[nodiscard]] bool inTouch(int number, int step) const
+    /// Whether a daemon was neither restarted nor partitioned within the last ReportSpreadSteps.
+    [[nodiscard]] bool wasUndisturbed(int number, int step) const
     {
-        return step - m_disturbedAt[static_cast<std::size_t>(number)] > ContactSteps;
+        return step - m_disturbedAt[static_cast<std::size_t>(number)] > ReportSpreadSteps;
     }
 
-    void play(int step)
+    void runStep(int step)
     {
-        if (step == m_course.killedAt) {
-            for (int i = 0; i < m_course.killed; ++i) {
-                m_daemons[static_cast<std::size_t>(i)] = start(i);
+        if (step == m_scenario.restartAt) {
+            for (int i = 0; i < m_scenario.restartedDaemons; ++i) {
+                m_daemons[static_cast<std::size_t>(i)] = makeDaemon(i);
                 m_disturbedAt[static_cast<std::size_t>(i)] = step;
             }
         }
-        if (cut(step)) {
+        if (isPartitioned(step)) {
             std::fill(m_disturbedAt.begin(), m_disturbedAt.end(), step);
         }
         deliver(step);
-        for (int i = 0; i < m_course.daemons; ++i) {
+        for (int i = 0; i < m_scenario.daemons; ++i) {
             exchange(i).gossip(timeOf(step));
         }
         m_step = step;
     }
 
-    void end(int number, const core::Digest &work, std::uint32_t target, int step)
+    void crash(int number, const core::Digest &content, std::uint32_t target, int step)
     {
-        daemon(number).crashes.targetEnded(work, target, timeOf(step));
-        exchange(number).tellChanges(timeOf(step));
+        daemon(number).crashes.noteCrash(content, target, timeOf(step));
+        exchange(number).publishChanges(timeOf(step));
     }
 
-    void survive(int number, const core::Digest &work, int step)
+    void succeed(int number, const core::Digest &content, int step)
     {
-        daemon(number).crashes.survived(work, timeOf(step));
-        exchange(number).tellChanges(timeOf(step));
+        daemon(number).crashes.noteSuccess(content, timeOf(step));
+        exchange(number).publishChanges(timeOf(step));
     }
 
 private:
@@ -143,25 +144,25 @@
         std::unique_ptr<control::CrashExchange> exchange;
     };
 
-    struct Word
+    struct Datagram
     {
-        int at = 0;
+        int deliverAt = 0;
         int from = 0;
         int to = 0;
-        control::CrashNews news;
+        control::CrashReport report;
     };
 
-    [[nodiscard]] bool cut(int step) const
+    [[nodiscard]] bool isPartitioned(int step) const
     {
-        return step >= m_course.cutFrom && step < m_course.cutUntil;
+        return step >= m_scenario.partitionFrom && step < m_scenario.partitionUntil;
     }
 
-    std::unique_ptr<Daemon> start(int number)
+    std::unique_ptr<Daemon> makeDaemon(int number)
     {
         auto daemon = std::make_unique<Daemon>();
         daemon->settings.vm = core::cat("vm-", number);
         std::vector<control::Member> members;
-        for (int i = 0; i < m_course.daemons; ++i) {
+        for (int i = 0; i < m_scenario.daemons; ++i) {
             members.push_back({core::cat("vm-", i),
                                "hall-a",
                                1,
@@ -173,131 +174,131 @@
         daemon->context.random.seed(m_random());
         daemon->exchange = std::make_unique<control::CrashExchange>(
             daemon->context, [this, number](const core::Address &to, const control::Message &message) {
-                send(number, to.port, std::get<control::CrashNews>(message));
+                send(number, to.port, std::get<control::CrashReport>(message));
             });
         return daemon;
     }
 
-    void send(int from, int to, const control::CrashNews &news)
+    void send(int from, int to, const control::CrashReport &report)
     {
-        if (std::uniform_real_distribution<double>(0, 1)(m_random) >= m_course.loss) {
-            const auto delay = std::uniform_int_distribution<int>(1, m_course.longestDelay)(m_random);
-            m_words.push_back({m_step + delay, from, to, news});
+        if (std::uniform_real_distribution<double>(0, 1)(m_random) >= m_scenario.lossRate) {
+            const auto delay = std::uniform_int_distribution<int>(1, m_scenario.maxDelaySteps)(m_random);
+            m_inTransit.push_back({m_step + delay, from, to, report});
         }
     }
 
     void deliver(int step)
     {
-        std::vector<Word> due;
-        std::vector<Word> later;
-        for (auto &word : m_words) {
-            (word.at <= step ? due : later).push_back(std::move(word));
+        std::vector<Datagram> due;
+        std::vector<Datagram> later;
+        for (auto &datagram : m_inTransit) {
+            (datagram.deliverAt <= step ? due : later).push_back(std::move(datagram));
         }
-        m_words = std::move(later);
-        for (const auto &word : due) {
-            const bool parted = cut(step) && word.from % 2 != word.to % 2;
-            if (!parted) {
-                exchange(word.to).take(word.news, timeOf(step));
+        m_inTransit = std::move(later);
+        for (const auto &datagram : due) {
+            const bool isDropped = isPartitioned(step) && datagram.from % 2 != datagram.to % 2;
+            if (!isDropped) {
+                exchange(datagram.to).handleReport(datagram.report, timeOf(step));
             }
         }
     }
 
-    const Course m_course;
+    const Scenario m_scenario;
     std::mt19937 m_random;
     std::vector<std::unique_ptr<Daemon>> m_daemons;
     std::vector<int> m_disturbedAt; ///< Last step at which a daemon was restarted or partitioned.
-    std::vector<Word> m_words; ///< Datagrams in transit.
+    std::vector<Datagram> m_inTransit; ///< Datagrams in transit.
     int m_step = 0;
 };
 
-/// Counts the sends of Deadly more than ContactSteps after its third crash, by daemons that were undisturbed for as
-/// long.
-int lateSends(const Course &course)
+/// Counts the sends of Deadly more than ReportSpreadSteps after its third crash, by daemons that were undisturbed for
+/// as long.
+int countLateSends(const Scenario &scenario)
 {
-    Fleet fleet(course);
+    Fleet fleet(scenario);
     std::vector<std::pair<int, int>> running; // Step at which the target crashes, daemon.
-    std::uint32_t ended = 0;
-    int thirdAt = Steps;
-    int late = 0;
+    std::uint32_t crashCount = 0;
+    int thirdCrashAt = Steps;
+    int lateSendCount = 0;
     for (int step = 0; step < Steps; ++step) {
-        fleet.play(step);
-        for (const auto &[endsAt, daemon] : running) {
-            if (endsAt == step) {
-                fleet.end(daemon, Deadly, ++ended, step);
-                thirdAt = ended == 3 ? step : thirdAt;
+        fleet.runStep(step);
+        for (const auto &[crashesAt, daemon] : running) {
+            if (crashesAt == step) {
+                fleet.crash(daemon, CrashingContent, ++crashCount, step);
+                thirdCrashAt = crashCount == 3 ? step : thirdCrashAt;
             }
         }
-        const auto daemon = fleet.draw();
-        if (step % course.copiesEvery != 0 || fleet.daemon(daemon).crashes.quarantined(Deadly)) {
+        const auto daemon = fleet.randomDaemon();
+        if (step % scenario.sendIntervalSteps != 0 || fleet.daemon(daemon).crashes.isQuarantined(CrashingContent)) {
             continue;
         }
-        running.emplace_back(step + RunSteps, daemon);
-        late += step > thirdAt + ContactSteps && fleet.inTouch(daemon, step) ? 1 : 0;
+        running.emplace_back(step + StepsUntilCrash, daemon);
+        lateSendCount += step > thirdCrashAt + ReportSpreadSteps && fleet.wasUndisturbed(daemon, step) ? 1 : 0;
     }
-    return late;
+    return lateSendCount;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(crash_properties)
 
-BOOST_AUTO_TEST_CASE(work_that_ends_targets_is_hardly_sent_once_the_third_end_had_time_to_get_around)
+BOOST_AUTO_TEST_CASE(content_that_crashes_targets_is_rarely_sent_after_the_third_crash_report_had_time_to_spread)
 {
     BOOST_TEST(rc::check("the number of late sends is limited", [] {
-        const auto course = *courses();
-        RC_ASSERT(lateSends(course) <= MostLateSends);
+        const auto course = *scenarios();
+        RC_ASSERT(countLateSends(course) <= MaxLateSends);
     }));
 }
 
 // A rack failure crashes the targets of all copies of a popular request at once, although the same content succeeded
 // shortly before. Successes elsewhere must lift its quarantine.
-BOOST_AUTO_TEST_CASE(work_that_runs_well_all_the_time_is_free_soon_after_many_targets_ended_under_it)
+BOOST_AUTO_TEST_CASE(content_that_keeps_succeeding_is_not_quarantined_after_a_rack_failure)
 {
     BOOST_TEST(rc::check("popular content is not quarantined", [] {
-        auto course = *courses();
-        course.killed = 0;
-        course.cutFrom = course.cutUntil = Steps;
+        auto course = *scenarios();
+        course.restartedDaemons = 0;
+        course.partitionFrom = course.partitionUntil = Steps;
         const auto copies = *rc::gen::inRange(1, 30);
         const auto racks = *rc::gen::inRange(1, 4);
         Fleet fleet(course);
         const int first = *rc::gen::inRange(20, 100);
         std::uint32_t ended = 0;
         for (int step = 0; step < Steps; ++step) {
-            fleet.play(step);
+            fleet.runStep(step);
             if (step % 10 == 0) {
-                fleet.survive(fleet.draw(), Popular, step); // Succeeds twice a second at random daemons.
+                fleet.succeed(fleet.randomDaemon(), PopularContent, step); // Succeeds twice a second at random daemons.
             }
             const bool rackLost = step >= first && step < first + racks * 20 && (step - first) % 20 == 0;
             for (int copy = 0; rackLost && copy < copies; ++copy) {
-                fleet.end(fleet.draw(), Popular, ++ended, step);
+                fleet.crash(fleet.randomDaemon(), PopularContent, ++ended, step);
             }
         }
         for (int i = 0; i < course.daemons; ++i) {
-            RC_ASSERT(!fleet.daemon(i).crashes.quarantined(Popular));
+            RC_ASSERT(!fleet.daemon(i).crashes.isQuarantined(PopularContent));
         }
     }));
 }
 
 // A caller's request reaches at most four targets, two in each of two tries. It must not be quarantined while fewer
 // than three of them crash, whatever the reason.
-BOOST_AUTO_TEST_CASE(a_request_is_not_kept_from_its_last_targets_by_two_ends)
+BOOST_AUTO_TEST_CASE(two_crashes_do_not_quarantine_a_request)
 {
     BOOST_TEST(rc::check("two crashes cause no quarantine", [] {
-        auto course = *courses();
+        auto course = *scenarios();
         Fleet fleet(course);
         const int first = *rc::gen::inRange(0, Steps / 2);
         const int second = *rc::gen::inRange(first, Steps / 2 + 1);
         for (int step = 0; step < Steps; ++step) {
-            fleet.play(step);
+            fleet.runStep(step);
             if (step == first) {
-                fleet.end(fleet.draw(), Deadly, 1, step);
+                fleet.crash(fleet.randomDaemon(), CrashingContent, 1, step);
             }
             if (step == second) {
-                fleet.end(fleet.draw(), Deadly, 2, step);
+                fleet.crash(fleet.randomDaemon(), CrashingContent, 2, step);
             }
         }
         for (int i = 0; i < course.daemons; ++i) {
-            RC_ASSERT(!fleet.daemon(i).crashes.quarantined(Deadly));
+            RC_ASSERT(!fleet.daemon(i).crashes.isQuarantined(CrashingContent));
         }
     }));
 }
--- a/tests/property/decoder_fuzz.cpp
+++ b/tests/property/decoder_fuzz.cpp
@@ -22,9 +22,9 @@
 namespace
 {
 
-constexpr int Objects = 5;
+constexpr int ObjectCount = 5;
 
-nlohmann::json goodEntry()
+nlohmann::json makeValidEntry()
 {
     return {{"service", "app"},
             {"address", "10.0.0.1:80"},
@@ -37,27 +37,28 @@
             {"born", 1'700'000'000'000}};
 }
 
-std::string objectText(int number, const std::string &spec)
+std::string makeObject(int number, const std::string &spec)
 {
     return core::cat(R"({"metadata":{"name":"i-)", number, R"(","revision":1},"spec":)", spec, "}");
 }
 
 /// Replaces some bytes at random, but neither removes nor inserts JSON structure characters.
-std::string withOtherBytes(std::string text)
+std::string replaceNonStructureBytes(std::string text)
 {
     const std::string structure = "{}[]\"\\,:";
     const auto changes = *rc::gen::inRange(1, 6);
     for (int i = 0; i < changes; ++i) {
         const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
         const auto byte = *rc::gen::arbitrary<char>();
-        const bool kept = structure.find(text[at]) != std::string::npos || structure.find(byte) != std::string::npos;
-        text[at] = kept ? text[at] : byte;
+        const bool isStructure
+            = structure.find(text[at]) != std::string::npos || structure.find(byte) != std::string::npos;
+        text[at] = isStructure ? text[at] : byte;
     }
     return text;
 }
 
 /// Replaces some bytes at random, including JSON structure characters.
-std::string withAnyBytes(std::string text)
+std::string replaceAnyBytes(std::string text)
 {
     const auto changes = *rc::gen::inRange(1, 20);
     for (int i = 0; i < changes; ++i) {
@@ -66,7 +67,7 @@
     return text;
 }
 
-std::string bodyOf(const std::vector<std::string> &objects)
+std::string makeListBody(const std::vector<std::string> &objects)
 {
     std::string items;
     for (const auto &object : objects) {
@@ -76,13 +77,13 @@
 }
 
 /// Returns the names of the objects whose entries are valid targets.
-std::set<std::string> targetsIn(const nlohmann::json &body)
+std::set<std::string> decodableTargets(const nlohmann::json &body)
 {
     std::set<std::string> names;
     for (const auto &object : body.at("items")) {
         try {
             const std::string name = object.at("metadata").at("name");
-            static_cast<void>(platform::readTarget(name, object.at("spec")));
+            static_cast<void>(platform::parseTarget(name, object.at("spec")));
             names.insert(name);
         } catch (const core::InvalidDocument &) {
         } catch (const nlohmann::json::exception &) { }
@@ -94,80 +95,81 @@
 
 BOOST_AUTO_TEST_SUITE(decoders)
 
-BOOST_AUTO_TEST_CASE(an_entry_with_other_bytes_spoils_no_other_entry)
+BOOST_AUTO_TEST_CASE(a_corrupt_entry_does_not_affect_other_entries)
 {
     CHECK_PROPERTY("the other entries stay readable", [] {
-        const auto good = goodEntry().dump();
-        const auto spoilt = *rc::gen::inRange(0, Objects);
+        const auto good = makeValidEntry().dump();
+        const auto spoilt = *rc::gen::inRange(0, ObjectCount);
         std::vector<std::string> objects;
-        for (int i = 0; i < Objects; ++i) {
-            objects.push_back(objectText(i, i == spoilt ? withOtherBytes(good) : good));
+        for (int i = 0; i < ObjectCount; ++i) {
+            objects.push_back(makeObject(i, i == spoilt ? replaceNonStructureBytes(good) : good));
         }
-        const auto found = targetsIn(platform::readItemList(bodyOf(objects), "items"));
-        for (int i = 0; i < Objects; ++i) {
+        const auto found = decodableTargets(platform::parseItemList(makeListBody(objects), "items"));
+        for (int i = 0; i < ObjectCount; ++i) {
             RC_ASSERT(i == spoilt || found.contains(core::cat("i-", i)));
         }
     });
 }
 
-BOOST_AUTO_TEST_CASE(no_bytes_end_the_process)
+BOOST_AUTO_TEST_CASE(random_bytes_do_not_crash_the_list_decoder)
 {
     CHECK_PROPERTY("bodies are decoded or rejected", [] {
-        const auto good = goodEntry().dump();
-        const auto body = withAnyBytes(bodyOf({objectText(0, good), objectText(1, good), objectText(2, good)}));
-        const auto read = platform::readItemList(body, "items");
+        const auto good = makeValidEntry().dump();
+        const auto body
+            = replaceAnyBytes(makeListBody({makeObject(0, good), makeObject(1, good), makeObject(2, good)}));
+        const auto read = platform::parseItemList(body, "items");
         if (read.is_object() && read.contains("items") && read["items"].is_array()) {
-            static_cast<void>(targetsIn(read));
+            static_cast<void>(decodableTargets(read));
         }
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_text_without_bad_bytes_is_utf_8_and_a_good_one_is_unchanged)
+BOOST_AUTO_TEST_CASE(sanitized_text_is_valid_utf_8_and_valid_text_is_unchanged)
 {
     CHECK_PROPERTY("the text can be written as JSON", [](const std::string &bytes) {
-        const auto clean = platform::withoutBadBytes(bytes);
+        const auto clean = platform::replaceInvalidUtf8(bytes);
         static_cast<void>(nlohmann::json(clean).dump()); // Throws if the text is not valid UTF-8.
-        RC_ASSERT(platform::withoutBadBytes(clean) == clean);
+        RC_ASSERT(platform::replaceInvalidUtf8(clean) == clean);
     });
-    const std::string good = "a \xC3\xA9 \xE2\x82\xAC \xF0\x9F\x9A\xA2";
-    BOOST_TEST(platform::withoutBadBytes(good) == good);
+    const std::string validText = "a \xC3\xA9 \xE2\x82\xAC \xF0\x9F\x9A\xA2";
+    BOOST_TEST(platform::replaceInvalidUtf8(validText) == validText);
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_s_state_of_any_bytes_is_read_or_refused)
+BOOST_AUTO_TEST_CASE(a_peer_state_with_random_bytes_is_decoded_or_rejected)
 {
     CHECK_PROPERTY("peer states are decoded or rejected", [] {
         relay::PeerState state;
         relay::TargetChange change;
-        change.entry = platform::readTarget("i-1", goodEntry());
+        change.entry = platform::parseTarget("i-1", makeValidEntry());
         state.targets.assign(3, change);
-        const auto text = withAnyBytes(relay::writePeerState(state));
+        const auto text = replaceAnyBytes(relay::writePeerState(state));
         try {
             static_cast<void>(relay::readPeerState(text));
         } catch (const core::InvalidDocument &) { }
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_field_of_another_type_or_none_makes_an_entry_unusable)
+BOOST_AUTO_TEST_CASE(a_missing_or_invalid_field_makes_an_entry_invalid)
 {
-    const auto good = goodEntry();
-    for (const auto &[field, value] : good.items()) {
-        auto without = good;
-        without.erase(field);
-        const bool mayMiss = field == "born"; // Targets of earlier platform releases do not send it.
-        if (!mayMiss) {
-            BOOST_CHECK_THROW(static_cast<void>(platform::readTarget("i", without)), core::InvalidDocument);
+    const auto validEntry = makeValidEntry();
+    for (const auto &[field, value] : validEntry.items()) {
+        auto incomplete = validEntry;
+        incomplete.erase(field);
+        const bool isOptional = field == "born"; // Targets of earlier platform releases do not send it.
+        if (!isOptional) {
+            BOOST_CHECK_THROW(static_cast<void>(platform::parseTarget("i", incomplete)), core::InvalidDocument);
         }
-        std::vector<nlohmann::json> others{nullptr, nlohmann::json::array(), -1, true, ""};
+        std::vector<nlohmann::json> invalidValues{nullptr, nlohmann::json::array(), -1, true, ""};
         if (field != "cold_remaining_ms") { // A duration may have a fraction; counts and times are integers.
-            others.emplace_back(1.5);
+            invalidValues.emplace_back(1.5);
         }
-        for (const auto &other : others) {
-            auto changed = good;
-            changed[field] = other;
-            BOOST_CHECK_THROW(static_cast<void>(platform::readTarget("i", changed)), core::InvalidDocument);
+        for (const auto &invalidValue : invalidValues) {
+            auto changed = validEntry;
+            changed[field] = invalidValue;
+            BOOST_CHECK_THROW(static_cast<void>(platform::parseTarget("i", changed)), core::InvalidDocument);
         }
     }
-    BOOST_TEST(platform::readTarget("i", goodEntry()).startMs == 1'700'000'000'000);
+    BOOST_TEST(platform::parseTarget("i", makeValidEntry()).startMs == 1'700'000'000'000);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/property/dispatch_property.cpp
+++ b/tests/property/dispatch_property.cpp
@@ -5,8 +5,8 @@
 
 #include "property.h"
 
-#include "spurlug/dispatch/reassembly.h"
 #include "spurlug/dispatch/retry.h"
+#include "spurlug/dispatch/token_reassembler.h"
 
 #include <algorithm>
 #include <random>
@@ -22,14 +22,14 @@
     CHECK_PROPERTY("reassembly", [] {
         const auto total = *rc::gen::inRange<std::int64_t>(1, 30);
         const auto attempts = *rc::gen::inRange(1, 4);
-        dispatch::Reassembly reassembly;
+        dispatch::TokenReassembler reassembly;
         std::vector<std::string> handedOut;
         for (int attempt = 1; attempt <= attempts; ++attempt) {
-            reassembly.begin(attempt);
+            reassembly.beginAttempt(attempt);
             const bool last = attempt == attempts;
             const auto count = last ? 0 : *rc::gen::inRange(0, 40);
             std::vector<std::int64_t> offsets;
-            for (auto offset = reassembly.next(); last && offset < total; ++offset) {
+            for (auto offset = reassembly.nextOffset(); last && offset < total; ++offset) {
                 offsets.push_back(offset);
             }
             for (int i = 0; i < count; ++i) {
@@ -49,12 +49,12 @@
                 for (auto &payload : reassembly.accept(attempt, offset, std::to_string(offset))) {
                     handedOut.push_back(payload);
                 }
-                RC_ASSERT(reassembly.next() == static_cast<std::int64_t>(handedOut.size()));
+                RC_ASSERT(reassembly.nextOffset() == static_cast<std::int64_t>(handedOut.size()));
             }
-            reassembly.finish(attempt, total);
-            RC_ASSERT(reassembly.complete() == (static_cast<std::int64_t>(handedOut.size()) == total));
+            reassembly.setTotal(attempt, total);
+            RC_ASSERT(reassembly.isComplete() == (static_cast<std::int64_t>(handedOut.size()) == total));
         }
-        RC_ASSERT(reassembly.complete());
+        RC_ASSERT(reassembly.isComplete());
         for (std::size_t i = 0; i < handedOut.size(); ++i) {
             RC_ASSERT(handedOut[i] == std::to_string(i));
         }
@@ -63,7 +63,7 @@
 
 /// The oracle counts how often targets actually ran the request. A request that must not be repeated never runs twice,
 /// and a request runs twice only after an attempt was reported as "may have run".
-BOOST_AUTO_TEST_CASE(work_marked_once_runs_at_most_once)
+BOOST_AUTO_TEST_CASE(a_non_repeatable_request_runs_at_most_once)
 {
     CHECK_PROPERTY("at most once", [] {
         core::Time now = absl::FromUnixSeconds(0);
@@ -74,12 +74,12 @@
         bool toldMayHaveRun = false;
         while (true) {
             ++attempts;
-            // Draws what happens at the target and derives the result that a client reports; it reports NotRun only if
-            // it knows that the request did not run.
+            // Draws what happens at the target and derives the result that a client reports; it reports NotExecuted
+            // only if it knows that the request did not run.
             const bool ran = *rc::gen::arbitrary<bool>();
             const bool answerLost = *rc::gen::arbitrary<bool>();
             runs += ran ? 1 : 0;
-            dispatch::AttemptEnd end;
+            dispatch::AttemptResult end;
             if (ran && !answerLost) {
                 end = {core::Outcome::Completed, core::Reason::None};
             } else if (!ran && !answerLost) {
@@ -103,7 +103,7 @@
         if (runs > 1) {
             RC_ASSERT(toldMayHaveRun);
         }
-        RC_ASSERT(attempts <= dispatch::RetryRule{}.mostAttempts);
+        RC_ASSERT(attempts <= dispatch::RetryPolicy{}.maxAttempts);
     });
 }
 
--- a/tests/property/engine_property.cpp
+++ b/tests/property/engine_property.cpp
@@ -15,7 +15,7 @@
 
 /// For any sequence of submissions, reservations, releases and expiries, the engine never uses more memory than it has,
 /// answers every admitted request in full, and ends with all memory free.
-BOOST_AUTO_TEST_CASE(an_engine_loses_no_memory)
+BOOST_AUTO_TEST_CASE(an_engine_never_leaks_or_overcommits_memory)
 {
     CHECK_PROPERTY("engine memory", [] {
         standins::EngineCosts costs;
@@ -32,7 +32,7 @@
             const auto id = "j" + std::to_string(*rc::gen::inRange(0, 6));
             switch (*rc::gen::inRange(0, 5)) {
             case 0: {
-                standins::EngineJob job;
+                standins::EngineRequest job;
                 job.id = id + "." + std::to_string(step);
                 job.prompt = std::string(static_cast<std::size_t>(*rc::gen::inRange(1, 2000)), 'p');
                 job.answerTokens = *rc::gen::inRange(1, 20);
@@ -45,7 +45,7 @@
                                                            ++received[name];
                                                        },
                                                        [](std::int64_t, std::int64_t) {}});
-                if (submission == standins::EngineModel::Submission::Accepted) {
+                if (submission == standins::EngineModel::SubmitResult::Accepted) {
                     expected[name] = answer;
                 }
                 break;
@@ -76,7 +76,7 @@
 
 /// No engine is ever in two grants, each grant has all the engines that were requested, and every request that is
 /// repeated until it is granted gets its grant.
-BOOST_AUTO_TEST_CASE(a_broker_never_grants_an_engine_twice_and_serves_everybody)
+BOOST_AUTO_TEST_CASE(a_broker_never_grants_an_engine_twice_and_grants_every_request)
 {
     CHECK_PROPERTY("broker", [] {
         const auto engineCount = *rc::gen::inRange(1, 6);
@@ -90,7 +90,7 @@
         }
         grants::Broker broker;
         core::Time now = absl::FromUnixSeconds(0);
-        std::map<std::string, grants::Ask> asking;
+        std::map<std::string, grants::GrantRequest> asking;
         std::map<std::string, grants::Grant> held;
         const auto round = [&](bool mayAsk) {
             now += absl::Milliseconds(*rc::gen::inRange(1, 1500));
@@ -105,9 +105,9 @@
                               now};
             }
             for (const auto &[id, ask] : asking) {
-                broker.ask(ask, now);
+                broker.enqueue(ask, now);
             }
-            broker.serve(engines, 0.5, now);
+            broker.grantEngines(engines, 0.5, now);
             std::set<std::string> taken;
             for (const auto &[id, ask] : std::map(asking)) {
                 if (const auto grant = broker.grantOf(id)) {
@@ -135,7 +135,7 @@
             round(false);
         }
         RC_ASSERT(asking.empty());
-        RC_ASSERT(broker.occupied() == 0);
+        RC_ASSERT(broker.occupiedEngines() == 0);
     });
 }
 
--- a/tests/property/fake_api.h
+++ b/tests/property/fake_object_api.h
@@ -24,25 +24,25 @@
 enum class Fault
 {
     None,
-    Down, ///< The call has no effect and reports that the platform is unavailable.
+    Unavailable, ///< The call has no effect and reports that the platform is unavailable.
     AnswerLost, ///< A write takes effect, but its answer is lost.
     RequestLost, ///< A write has no effect, but its author cannot tell.
-    OtherAuthor, ///< Another author's change is committed first.
+    ConcurrentWrite, ///< Another author's change is committed first.
 };
 
-/// \brief Objects and pending faults of a FakeApi.
+/// \brief Objects and pending faults of a FakeObjectApi.
 struct FakeState
 {
     std::map<std::string, objects::Object> objects;
     std::int64_t lastVersion = 0;
-    std::map<std::string, std::vector<std::string>> written; ///< All values that took effect, by object name.
+    std::map<std::string, std::vector<std::string>> writtenValues; ///< All values that took effect, by object name.
     std::vector<Fault> faults;
-    std::function<void()> otherAuthor;
-    bool nested = false;
+    std::function<void()> concurrentWrite;
+    bool inConcurrentWrite = false;
 
-    Fault next()
+    Fault takeFault()
     {
-        if (faults.empty() || nested) {
+        if (faults.empty() || inConcurrentWrite) {
             return Fault::None;
         }
         const auto fault = faults.back();
@@ -52,16 +52,16 @@
 };
 
 /// \brief Object API that injects the faults of a FakeState; for use by a single thread.
-class FakeApi
+class FakeObjectApi
 {
 public:
-    explicit FakeApi(FakeState &state)
+    explicit FakeObjectApi(FakeState &state)
         : m_state(state)
     { }
 
     [[nodiscard]] std::optional<objects::Object> read(const std::string &name) const
     {
-        if (m_state.next() == Fault::Down) {
+        if (m_state.takeFault() == Fault::Unavailable) {
             throw core::PlatformUnavailable("down");
         }
         const auto found = m_state.objects.find(name);
@@ -77,24 +77,24 @@
 
     std::int64_t update(const std::string &name, const std::string &value, std::int64_t version) const
     {
-        const auto fault = m_state.next();
-        if (fault == Fault::Down) {
+        const auto fault = m_state.takeFault();
+        if (fault == Fault::Unavailable) {
             throw core::PlatformUnavailable("down");
         }
         if (fault == Fault::RequestLost) {
             throw core::UnknownResult("request lost");
         }
-        if (fault == Fault::OtherAuthor) {
-            m_state.nested = true;
-            m_state.otherAuthor();
-            m_state.nested = false;
+        if (fault == Fault::ConcurrentWrite) {
+            m_state.inConcurrentWrite = true;
+            m_state.concurrentWrite();
+            m_state.inConcurrentWrite = false;
         }
         auto &object = m_state.objects[name];
         if (object.version != version) {
             throw core::VersionConflict("other version");
         }
         object = {value, ++m_state.lastVersion};
-        m_state.written[name].push_back(value);
+        m_state.writtenValues[name].push_back(value);
         if (fault == Fault::AnswerLost) {
             throw core::UnknownResult("answer lost");
         }
@@ -105,16 +105,16 @@
     FakeState &m_state;
 };
 
-static_assert(objects::ObjectApi<FakeApi>);
+static_assert(objects::ObjectApi<FakeObjectApi>);
 
 /// \brief Generates lists of faults; a FakeState takes them from the back.
-inline rc::Gen<std::vector<Fault>> genFaults()
+inline rc::Gen<std::vector<Fault>> generateFaults()
 {
     return rc::gen::container<std::vector<Fault>>(rc::gen::weightedElement<Fault>({{8, Fault::None},
-                                                                                   {1, Fault::Down},
+                                                                                   {1, Fault::Unavailable},
                                                                                    {2, Fault::AnswerLost},
                                                                                    {2, Fault::RequestLost},
-                                                                                   {2, Fault::OtherAuthor}}));
+                                                                                   {2, Fault::ConcurrentWrite}}));
 }
 
 } // namespace property
--- a/tests/property/fleet_rate_property.cpp
+++ b/tests/property/fleet_rate_property.cpp
@@ -14,8 +14,8 @@
 #include "property.h"
 
 #include "spurlug/core/text.h"
-#include "spurlug/relay/cold_start.h"
 #include "spurlug/relay/rate_limit.h"
+#include "spurlug/relay/warm_up.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -31,14 +31,14 @@
 constexpr int StepMs = 100;
 constexpr int StepsPerSecond = 1000 / StepMs;
 constexpr int Steps = 80;
-constexpr int LearnsAfterMs = 1500; ///< Time after which connected daemons know each other.
+constexpr int DiscoveryMs = 1500; ///< Time after which connected daemons know each other.
 constexpr std::uint32_t TargetHash = 0x1234567;
 
 struct Fleet
 {
-    std::vector<int> daemons; ///< Number of daemons by failure domain.
-    int killedAt = 0; ///< Step at which a share of all daemons restarts.
-    double killedShare = 0;
+    std::vector<int> daemonsPerDomain; ///< Number of daemons by failure domain.
+    int restartAt = 0; ///< Step at which a share of all daemons restarts.
+    double restartedShare = 0;
     int schedulers = 0; ///< Number of schedulers that place prompts at the same time.
     double perSecond = 0;
 };
@@ -51,7 +51,7 @@
     relay::RecentSends sends{};
 };
 
-core::Time at(int step)
+core::Time timeOf(int step)
 {
     return absl::FromUnixSeconds(1000) + absl::Milliseconds(step * StepMs);
 }
@@ -62,28 +62,29 @@
         Fleet fleet;
         const auto domains = *rc::gen::inRange(1, 6);
         for (int i = 0; i < domains; ++i) {
-            fleet.daemons.push_back(*rc::gen::inRange(1, 201));
+            fleet.daemonsPerDomain.push_back(*rc::gen::inRange(1, 201));
         }
-        fleet.killedAt = *rc::gen::inRange(0, Steps);
-        fleet.killedShare = *rc::gen::inRange(0, 101) / 100.0;
+        fleet.restartAt = *rc::gen::inRange(0, Steps);
+        fleet.restartedShare = *rc::gen::inRange(0, 101) / 100.0;
         fleet.schedulers = *rc::gen::inRange(0, 4);
         fleet.perSecond = *rc::gen::inRange(2, 51);
         return fleet;
     });
 }
 
-relay::FleetKnowledge knowledgeOf(const Daemon &daemon, const Fleet &fleet, int step)
+relay::FleetView fleetViewOf(const Daemon &daemon, const Fleet &fleet, int step)
 {
-    const auto lifeMs = (step - daemon.startedAt) * StepMs;
-    const auto atHome = lifeMs >= LearnsAfterMs ? static_cast<std::size_t>(fleet.daemons[daemon.domain]) : 1;
-    return {atHome, lifeMs >= LearnsAfterMs, true, absl::Milliseconds(lifeMs), fleet.daemons.size()};
+    const auto uptimeMs = (step - daemon.startedAt) * StepMs;
+    const auto localDaemons
+        = uptimeMs >= DiscoveryMs ? static_cast<std::size_t>(fleet.daemonsPerDomain[daemon.domain]) : 1;
+    return {localDaemons, uptimeMs >= DiscoveryMs, true, absl::Milliseconds(uptimeMs), fleet.daemonsPerDomain.size()};
 }
 
 std::vector<Daemon> daemonsOf(const Fleet &fleet)
 {
     std::vector<Daemon> daemons;
-    for (std::size_t domain = 0; domain < fleet.daemons.size(); ++domain) {
-        for (int i = 0; i < fleet.daemons[domain]; ++i) {
+    for (std::size_t domain = 0; domain < fleet.daemonsPerDomain.size(); ++domain) {
+        for (int i = 0; i < fleet.daemonsPerDomain[domain]; ++i) {
             daemons.push_back({core::cat("vm-", domain, "-", i), domain});
         }
     }
@@ -91,10 +92,11 @@
 }
 
 /// Sends as many requests as the sender may send now and returns their number.
-int press(relay::RecentSends &sends, const relay::RateShare &share, const relay::FleetRate &rate, core::Time now)
+int sendAllPermitted(relay::RecentSends &sends, const relay::LocalRateShare &share, const relay::FleetRate &rate,
+                     core::Time now)
 {
     int count = 0;
-    while (share.takesOne(rate, sends, now)) {
+    while (share.allowsRequest(rate, sends, now)) {
         sends.add(now);
         ++count;
     }
@@ -102,39 +104,39 @@
 }
 
 /// Returns the number of requests that the target gets in each step while all senders send as much as they may.
-std::vector<int> play(const Fleet &fleet, const relay::FleetRate &rate)
+std::vector<int> simulate(const Fleet &fleet, const relay::FleetRate &rate)
 {
-    using relay::RateGiver;
+    using relay::SenderRole;
     auto daemons = daemonsOf(fleet);
     std::vector<relay::RecentSends> schedulers(static_cast<std::size_t>(fleet.schedulers));
-    const auto giver = schedulers.empty() ? RateGiver::Everybody : RateGiver::Alone;
-    const auto killed = static_cast<std::size_t>(fleet.killedShare * static_cast<double>(daemons.size()));
-    std::vector<int> got;
+    const auto senderRole = schedulers.empty() ? SenderRole::AnyDaemon : SenderRole::Unscheduled;
+    const auto restartedCount = static_cast<std::size_t>(fleet.restartedShare * static_cast<double>(daemons.size()));
+    std::vector<int> received;
     for (int step = 0; step < Steps; ++step) {
-        int sum = 0;
-        for (std::size_t i = 0; step == fleet.killedAt && i < killed; ++i) {
+        int sentInStep = 0;
+        for (std::size_t i = 0; step == fleet.restartAt && i < restartedCount; ++i) {
             daemons[i].startedAt = step;
             daemons[i].sends = {};
         }
         for (auto &daemon : daemons) {
-            const relay::RateShare share(giver, knowledgeOf(daemon, fleet, step), daemon.vm, TargetHash);
-            sum += press(daemon.sends, share, rate, at(step));
+            const relay::LocalRateShare share(senderRole, fleetViewOf(daemon, fleet, step), daemon.vm, TargetHash);
+            sentInStep += sendAllPermitted(daemon.sends, share, rate, timeOf(step));
         }
         for (auto &scheduler : schedulers) {
-            sum += press(scheduler, {RateGiver::Scheduler, {}, "", TargetHash}, rate, at(step));
+            sentInStep += sendAllPermitted(scheduler, {SenderRole::Scheduler, {}, "", TargetHash}, rate, timeOf(step));
         }
-        got.push_back(sum);
+        received.push_back(sentInStep);
     }
-    return got;
+    return received;
 }
 
 /// Whether the target gets in each span at most what operators tolerate: 1.5 times its rate, plus five requests.
-bool isBorne(const std::vector<int> &got, const relay::FleetRate &rate)
+bool isWithinLimit(const std::vector<int> &received, const relay::FleetRate &rate)
 {
     const auto span = static_cast<std::ptrdiff_t>(rate.span / absl::Milliseconds(StepMs));
-    const auto most = rate.perSecond * absl::ToDoubleSeconds(rate.span) * 1.5 + 5;
-    for (auto first = got.begin(); got.end() - first >= span; ++first) {
-        if (std::accumulate(first, first + span, 0) > most) {
+    const auto maxRequests = rate.perSecond * absl::ToDoubleSeconds(rate.span) * 1.5 + 5;
+    for (auto first = received.begin(); received.end() - first >= span; ++first) {
+        if (std::accumulate(first, first + span, 0) > maxRequests) {
             return false;
         }
     }
@@ -145,38 +147,38 @@
 
 BOOST_AUTO_TEST_SUITE(fleet_rate_properties)
 
-BOOST_AUTO_TEST_CASE(a_cold_target_gets_what_the_operator_bears_whoever_presses)
+BOOST_AUTO_TEST_CASE(a_target_that_warms_up_stays_within_the_tolerated_rate)
 {
     CHECK_PROPERTY("warm-up rate", [] {
         const auto fleet = *fleets();
-        const auto rate = relay::ColdStart::rate(fleet.perSecond);
-        RC_ASSERT(isBorne(play(fleet, rate), rate));
+        const auto rate = relay::WarmUp::rate(fleet.perSecond);
+        RC_ASSERT(isWithinLimit(simulate(fleet, rate), rate));
     });
 }
 
 // Daemons that each keep to an announced limit must not exceed it together.
-BOOST_AUTO_TEST_CASE(a_limited_target_gets_what_it_named_whoever_presses)
+BOOST_AUTO_TEST_CASE(a_limited_target_stays_within_the_tolerance_of_its_announced_rate)
 {
     CHECK_PROPERTY("limited rate", [] {
         const auto fleet = *fleets();
         relay::RateLimit limit;
-        limit.take(*rc::gen::inRange(1, 400) / 10.0, at(0));
-        RC_ASSERT(isBorne(play(fleet, limit.rate()), limit.rate()));
+        limit.update(*rc::gen::inRange(1, 400) / 10.0, timeOf(0));
+        RC_ASSERT(isWithinLimit(simulate(fleet, limit.rate()), limit.rate()));
     });
 }
 
 /// Using a target is better than refusing requests: under sustained load, the target gets more than a quarter of its
 /// rate.
-BOOST_AUTO_TEST_CASE(a_target_whose_rate_is_shared_is_not_left_idle)
+BOOST_AUTO_TEST_CASE(a_target_with_a_shared_rate_is_not_left_idle)
 {
     for (const int size : {1, 20, 200}) {
-        for (const auto &rate : {relay::ColdStart::rate(14), relay::FleetRate{1.5, absl::Seconds(4)}}) {
+        for (const auto &rate : {relay::WarmUp::rate(14), relay::FleetRate{1.5, absl::Seconds(4)}}) {
             Fleet fleet;
-            fleet.daemons = {size, size, size, size, size};
-            fleet.killedAt = Steps;
-            const auto got = play(fleet, rate);
-            const auto named = rate.perSecond * Steps / StepsPerSecond;
-            BOOST_TEST(std::accumulate(got.begin(), got.end(), 0) > named / 4);
+            fleet.daemonsPerDomain = {size, size, size, size, size};
+            fleet.restartAt = Steps;
+            const auto received = simulate(fleet, rate);
+            const auto permittedRequests = rate.perSecond * Steps / StepsPerSecond;
+            BOOST_TEST(std::accumulate(received.begin(), received.end(), 0) > permittedRequests / 4);
         }
     }
 }
