--- a/tests/property/repeat_bound_property.cpp
+++ b/tests/property/retry_limit_property.cpp
@@ -20,7 +20,7 @@
 
 #include "property.h"
 
-#include "spurlug/relay/retry_ledger.h"
+#include "spurlug/relay/fleet_retry_budget.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -33,9 +33,9 @@
 
 constexpr int StepMs = 500;
 constexpr int Steps = 80;
-constexpr int LearnsAfterMs = 1500; ///< Time after which connected daemons know each other.
+constexpr int DiscoveryMs = 1500; ///< Time after which connected daemons know each other.
 
-core::Time at(int step)
+core::Time timeOf(int step)
 {
     return absl::FromUnixSeconds(1000) + absl::Milliseconds(step * StepMs);
 }
@@ -56,9 +56,10 @@
 struct Fleet
 {
     std::vector<Domain> domains;
-    int killedAt = 0; ///< Step at which all daemons restart.
-    int cutFrom = 0; ///< Step from which the sides hear nothing of each other.
-    std::size_t parted = 0; ///< Index of the domain whose daemons hear only their own half of it from that step on.
+    int restartAt = 0; ///< Step at which all daemons restart.
+    int partitionFrom = 0; ///< Step from which the sides hear nothing of each other.
+    std::size_t splitDomain
+        = 0; ///< Index of the domain whose daemons hear only their own half of it from that step on.
 };
 
 /// Generates fleets in which the callers of some domains move to other domains at one step, and targets fail from about
@@ -71,24 +72,24 @@
         const auto movedAt = *rc::gen::inRange(WindowSteps, Steps - WindowSteps);
         const auto domains = *rc::gen::inRange(2, 6);
         for (int i = 0; i < domains; ++i) {
-            const bool isLeft = i % 2 == 0;
+            const bool losesCallers = i % 2 == 0;
             Domain domain;
             domain.daemons = *rc::gen::inRange(1, 12);
-            domain.callersFrom = isLeft ? 0 : movedAt;
-            domain.callersUntil = isLeft ? movedAt : Steps;
+            domain.callersFrom = losesCallers ? 0 : movedAt;
+            domain.callersUntil = losesCallers ? movedAt : Steps;
             domain.requestsPerStep = *rc::gen::inRange(1, 20);
             domain.failsFrom = movedAt + *rc::gen::inRange(-4, 4);
             domain.failsUntil = Steps;
             fleet.domains.push_back(domain);
         }
-        fleet.killedAt = *rc::gen::inRange(0, Steps);
-        fleet.cutFrom = Steps;
-        fleet.parted = fleet.domains.size();
+        fleet.restartAt = *rc::gen::inRange(0, Steps);
+        fleet.partitionFrom = Steps;
+        fleet.splitDomain = fleet.domains.size();
         return fleet;
     });
 }
 
-rc::Gen<Fleet> fleets(int mostSides, int mostRequests)
+rc::Gen<Fleet> fleets(int maxSides, int maxRequests)
 {
     return rc::gen::exec([=] {
         Fleet fleet;
@@ -96,106 +97,108 @@
         for (int i = 0; i < domains; ++i) {
             Domain domain;
             domain.daemons = *rc::gen::inRange(1, 12);
-            domain.side = *rc::gen::inRange(0, mostSides);
+            domain.side = *rc::gen::inRange(0, maxSides);
             domain.callersFrom = *rc::gen::inRange(0, Steps);
             domain.callersUntil = *rc::gen::inRange(domain.callersFrom, Steps + 1);
-            domain.requestsPerStep = *rc::gen::inRange(0, mostRequests + 1);
+            domain.requestsPerStep = *rc::gen::inRange(0, maxRequests + 1);
             domain.failsFrom = *rc::gen::inRange(0, Steps);
             domain.failsUntil = *rc::gen::inRange(domain.failsFrom, Steps + 1);
             fleet.domains.push_back(domain);
         }
-        fleet.killedAt = *rc::gen::inRange(0, Steps);
-        fleet.cutFrom = *rc::gen::inRange(0, Steps);
-        fleet.parted = *rc::gen::inRange<std::size_t>(0, fleet.domains.size() + 1);
+        fleet.restartAt = *rc::gen::inRange(0, Steps);
+        fleet.partitionFrom = *rc::gen::inRange(0, Steps);
+        fleet.splitDomain = *rc::gen::inRange<std::size_t>(0, fleet.domains.size() + 1);
         return fleet;
     });
 }
 
 struct Daemon
 {
-    relay::RetryLedger ledger;
+    relay::FleetRetryBudget budget;
     std::size_t domain = 0;
-    int number = 0; ///< Index within its domain.
+    int index = 0; ///< Index within its domain.
     int startedAt = -Steps;
-    std::size_t largest = 0; ///< Largest number of daemons of its failure domain that it knew at once.
+    std::size_t maxKnownDaemons = 0; ///< Largest number of daemons of its failure domain that it knew at once.
 };
 
 /// Requests and retries of all daemons in each step.
-struct Day
+struct StepCounts
 {
     std::vector<std::int64_t> requests;
-    std::vector<std::int64_t> repeats;
+    std::vector<std::int64_t> retries;
 };
 
 /// Number of daemons of its own domain that a daemon hears, itself included.
-std::size_t heardAtHome(const Daemon &daemon, const Fleet &fleet, int step)
+std::size_t countHeardLocally(const Daemon &daemon, const Fleet &fleet, int step)
 {
     const auto all = fleet.domains[daemon.domain].daemons;
-    const bool parted = step >= fleet.cutFrom && daemon.domain == fleet.parted;
+    const bool isSplit = step >= fleet.partitionFrom && daemon.domain == fleet.splitDomain;
     const auto half = all / 2;
-    return static_cast<std::size_t>(!parted ? all : daemon.number < half ? half : all - half);
+    return static_cast<std::size_t>(!isSplit ? all : daemon.index < half ? half : all - half);
 }
 
 /// Number of daemons of other domains that a daemon hears.
-std::size_t heardElsewhere(const Daemon &daemon, const Fleet &fleet, int step)
+std::size_t countHeardRemotely(const Daemon &daemon, const Fleet &fleet, int step)
 {
     std::size_t heard = 0;
     for (std::size_t i = 0; i < fleet.domains.size(); ++i) {
-        const bool reached = step < fleet.cutFrom || fleet.domains[i].side == fleet.domains[daemon.domain].side;
-        heard += i != daemon.domain && reached ? static_cast<std::size_t>(fleet.domains[i].daemons) : 0;
+        const bool isReachable
+            = step < fleet.partitionFrom || fleet.domains[i].side == fleet.domains[daemon.domain].side;
+        heard += i != daemon.domain && isReachable ? static_cast<std::size_t>(fleet.domains[i].daemons) : 0;
     }
     return heard;
 }
 
 /// What a daemon knows of its fleet's size at a step.
-relay::FleetKnowledge knowledgeOf(Daemon &daemon, const Fleet &fleet, int step)
+relay::FleetView fleetViewOf(Daemon &daemon, const Fleet &fleet, int step)
 {
-    const auto lifeMs = (step - daemon.startedAt) * StepMs;
-    const bool hasLearned = lifeMs >= LearnsAfterMs;
-    const auto atHome = hasLearned ? heardAtHome(daemon, fleet, step) : 1;
-    const auto elsewhere = hasLearned ? heardElsewhere(daemon, fleet, step) : 0;
-    daemon.largest = std::max(daemon.largest, atHome);
-    return {daemon.largest, atHome + elsewhere > 1, true, absl::Milliseconds(lifeMs), fleet.domains.size()};
+    const auto uptimeMs = (step - daemon.startedAt) * StepMs;
+    const bool hasDiscovered = uptimeMs >= DiscoveryMs;
+    const auto localDaemons = hasDiscovered ? countHeardLocally(daemon, fleet, step) : 1;
+    const auto remoteDaemons = hasDiscovered ? countHeardRemotely(daemon, fleet, step) : 0;
+    daemon.maxKnownDaemons = std::max(daemon.maxKnownDaemons, localDaemons);
+    return {daemon.maxKnownDaemons, localDaemons + remoteDaemons > 1, true, absl::Milliseconds(uptimeMs),
+            fleet.domains.size()};
 }
 
-void runStep(Daemon &daemon, const Fleet &fleet, int step, Day &day)
+void runStep(Daemon &daemon, const Fleet &fleet, int step, StepCounts &stepCounts)
 {
     const auto &domain = fleet.domains[daemon.domain];
     if (step >= domain.callersFrom && step < domain.callersUntil) {
         for (int i = 0; i < domain.requestsPerStep; ++i) {
-            daemon.ledger.request("s", at(step));
+            daemon.budget.noteRequest("s", timeOf(step));
         }
-        day.requests.back() += domain.requestsPerStep;
+        stepCounts.requests.back() += domain.requestsPerStep;
     }
     if (step < domain.failsFrom || step >= domain.failsUntil) {
         return;
     }
-    const auto share = relay::slackShare(knowledgeOf(daemon, fleet, step), daemon.ledger.bound().window);
-    while (daemon.ledger.take("s", share, at(step)) != relay::RepeatCharge::Refused) {
-        ++day.repeats.back();
+    const auto share = relay::slackShare(fleetViewOf(daemon, fleet, step), daemon.budget.limit().window);
+    while (daemon.budget.charge("s", share, timeOf(step)) != relay::RetryCharge::Refused) {
+        ++stepCounts.retries.back();
     }
 }
 
-Day play(const Fleet &fleet, const relay::RetryBound &bound)
+StepCounts simulate(const Fleet &fleet, const relay::FleetRetryLimit &limit)
 {
     std::vector<Daemon> daemons;
     for (std::size_t domain = 0; domain < fleet.domains.size(); ++domain) {
         for (int i = 0; i < fleet.domains[domain].daemons; ++i) {
-            daemons.push_back({relay::RetryLedger(bound), domain, i});
+            daemons.push_back({relay::FleetRetryBudget(limit), domain, i});
         }
     }
-    Day day;
+    StepCounts stepCounts;
     for (int step = 0; step < Steps; ++step) {
-        day.requests.push_back(0);
-        day.repeats.push_back(0);
+        stepCounts.requests.push_back(0);
+        stepCounts.retries.push_back(0);
         for (auto &daemon : daemons) {
-            if (step == fleet.killedAt) {
-                daemon = {relay::RetryLedger(bound), daemon.domain, daemon.number, step};
+            if (step == fleet.restartAt) {
+                daemon = {relay::FleetRetryBudget(limit), daemon.domain, daemon.index, step};
             }
-            runStep(daemon, fleet, step, day);
+            runStep(daemon, fleet, step, stepCounts);
         }
     }
-    return day;
+    return stepCounts;
 }
 
 std::int64_t sumOf(const std::vector<std::int64_t> &counts, int from, int until)
@@ -209,16 +212,16 @@
 
 /// Checks that no window exceeds the retry limit. The limit counts the requests of the window itself, of the previous
 /// one or of the one half a window earlier, whichever has the most.
-void checkBound(const Day &day, const relay::RetryBound &bound)
+void checkRetryLimit(const StepCounts &stepCounts, const relay::FleetRetryLimit &limit)
 {
-    const auto window = static_cast<int>(absl::ToInt64Milliseconds(bound.window)) / StepMs;
+    const auto window = static_cast<int>(absl::ToInt64Milliseconds(limit.window)) / StepMs;
     for (int end = 1; end <= Steps; ++end) {
         std::int64_t requests = 0;
-        for (const int before : {0, window / 2, window}) {
-            requests = std::max(requests, sumOf(day.requests, end - before - window, end - before));
+        for (const int windowOffset : {0, window / 2, window}) {
+            requests = std::max(requests, sumOf(stepCounts.requests, end - windowOffset - window, end - windowOffset));
         }
-        const auto allowed = bound.ratio * static_cast<double>(requests) + bound.slack;
-        RC_ASSERT(static_cast<double>(sumOf(day.repeats, end - window, end)) <= allowed);
+        const auto allowed = limit.ratio * static_cast<double>(requests) + limit.slack;
+        RC_ASSERT(static_cast<double>(sumOf(stepCounts.retries, end - window, end)) <= allowed);
     }
 }
 
@@ -228,31 +231,31 @@
 
 /// The fleet is partitioned between its failure domains into any number of sides, and possibly within one domain, from
 /// its start or later.
-BOOST_AUTO_TEST_CASE(the_slack_is_kept_by_any_number_of_sides_of_failure_domains)
+BOOST_AUTO_TEST_CASE(partitioned_failure_domains_stay_within_the_retry_slack)
 {
     CHECK_PROPERTY("slack of partitioned fleets", [] {
-        relay::RetryBound bound;
+        relay::FleetRetryLimit bound;
         bound.slack = *rc::gen::inRange(100, 700);
-        checkBound(play(*fleets(5, 0), bound), bound);
+        checkRetryLimit(simulate(*fleets(5, 0), bound), bound);
     });
 }
 
 /// Callers move between daemons while targets fail and daemons restart.
-BOOST_AUTO_TEST_CASE(the_bound_is_kept_when_callers_move_to_other_daemons)
+BOOST_AUTO_TEST_CASE(the_retry_limit_holds_when_callers_move_to_other_daemons)
 {
     CHECK_PROPERTY("retry limit with moving callers", [] {
-        relay::RetryBound bound;
+        relay::FleetRetryLimit bound;
         bound.slack = *rc::gen::inRange(20, 300);
-        checkBound(play(*fleetsWithMovingCallers(), bound), bound);
+        checkRetryLimit(simulate(*fleetsWithMovingCallers(), bound), bound);
     });
 }
 
-BOOST_AUTO_TEST_CASE(the_bound_is_kept_whatever_callers_targets_cuts_and_restarts_do)
+BOOST_AUTO_TEST_CASE(the_retry_limit_holds_under_load_failures_partitions_and_restarts)
 {
     CHECK_PROPERTY("bound", [] {
-        relay::RetryBound bound;
+        relay::FleetRetryLimit bound;
         bound.slack = *rc::gen::inRange(20, 300);
-        checkBound(play(*fleets(5, 20), bound), bound);
+        checkRetryLimit(simulate(*fleets(5, 20), bound), bound);
     });
 }
 
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -39,9 +39,9 @@
 
 std::string Answer::errorCode() const
 {
-    const auto whole = json();
-    if (whole.is_object()) {
-        return whole.value("error", nlohmann::json::object()).value("code", "");
+    const auto document = json();
+    if (document.is_object()) {
+        return document.value("error", nlohmann::json::object()).value("code", "");
     }
     spurlug::dispatch::SseParser parser;
     parser.feed(body);
@@ -73,9 +73,9 @@
 
 std::string Answer::text() const
 {
-    const auto whole = json();
-    if (whole.is_object() && whole.contains("choices")) {
-        return whole["choices"][0]["message"].value("content", "");
+    const auto document = json();
+    if (document.is_object() && document.contains("choices")) {
+        return document["choices"][0]["message"].value("content", "");
     }
     std::string text;
     spurlug::dispatch::SseParser parser;
@@ -97,8 +97,8 @@
 Answer call(const std::string &address, const std::string &method, const std::string &path, const std::string &body,
             const std::map<std::string, std::string> &headers)
 {
-    const auto to = core::parseAddress(address);
-    httplib::Client client(to.host, to.port);
+    const auto parsedAddress = core::parseAddress(address);
+    httplib::Client client(parsedAddress.host, parsedAddress.port);
     client.set_read_timeout(CallTimeoutSeconds);
     httplib::Request request;
     request.method = method;
@@ -119,14 +119,14 @@
         answer.body.append(data, size);
         return true;
     };
-    answer.cut = !client.send(request);
+    answer.isIncomplete = !client.send(request);
     return answer;
 }
 
 bool eventually(const std::function<bool()> &condition)
 {
-    const auto until = std::chrono::steady_clock::now() + ConditionTimeout;
-    while (std::chrono::steady_clock::now() < until) {
+    const auto deadline = std::chrono::steady_clock::now() + ConditionTimeout;
+    while (std::chrono::steady_clock::now() < deadline) {
         if (condition()) {
             return true;
         }
@@ -135,20 +135,20 @@
     return false;
 }
 
-Fleet::Fleet(const FleetShape &shape)
-    : m_shape(shape)
+Fleet::Fleet(const FleetOptions &options)
+    : m_options(options)
 {
-    start("platform", "standin-platform", {});
-    m_platformForDaemons = behindProxy("platform", shape.proxyPlatform);
-    start("service", "standin-service", {});
+    startProgram("platform", "standin-platform", {});
+    m_daemonPlatformAddress = proxiedAddress("platform", options.proxyPlatform);
+    startProgram("service", "standin-service", {});
     auto targets = nlohmann::json::array();
-    for (const auto &domain : shape.domains) {
-        for (int i = 1; i <= shape.enginesEach; ++i) {
+    for (const auto &domain : options.domains) {
+        for (int i = 1; i <= options.enginesPerDomain; ++i) {
             const auto name = domain + "-engine-" + std::to_string(i);
             startEngine(name, "127.0.0.1:0");
             m_engines.push_back(name);
             targets.push_back(
-                {{"id", name}, {"address", behindProxy(name, shape.proxyEngines)}, {"failureDomain", domain}});
+                {{"id", name}, {"address", proxiedAddress(name, options.proxyEngines)}, {"failureDomain", domain}});
         }
     }
     const std::string salt = "tester";
@@ -156,38 +156,38 @@
         = {{"pools",
             {{{"name", "pool"},
               {"model", "model"},
-              {"longThresholdTokens", shape.longThresholdTokens},
-              {"engineTokens", shape.engineTokens},
+              {"longThresholdTokens", options.longThresholdTokens},
+              {"engineTokens", options.engineTokens},
               {"targets", targets}}}},
            {"services",
             {{{"name", "service"},
               {"repeatableMethods", {"GET"}},
               {"targets",
                {{{"id", "service-1"},
-                 {"address", behindProxy("service", shape.proxyService)},
-                 {"failureDomain", shape.domains.front()}}}}}}},
+                 {"address", proxiedAddress("service", options.proxyService)},
+                 {"failureDomain", options.domains.front()}}}}}}},
            {"organisations",
-            {{{"name", "tester"}, {"keys", {{{"salt", salt}, {"digest", spurlug::config::keyDigest(salt, Key)}}}}}}},
+            {{{"name", "tester"}, {"keys", {{{"salt", salt}, {"digest", spurlug::config::keyDigest(salt, ApiKey)}}}}}}},
            {"classes", {{{"name", "quick"}, {"defaultDeadlineMs", 30000}, {"maxDeadlineMs", 60000}}}}};
-    for (const auto &domain : shape.domains) {
-        for (int i = 1; i <= shape.daemonsEach; ++i) {
+    for (const auto &domain : options.domains) {
+        for (int i = 1; i <= options.daemonsPerDomain; ++i) {
             startDaemon(domain + "-" + std::to_string(i), domain);
         }
     }
-    const auto [code, output] = apply(false);
+    const auto [code, output] = applyConfiguration(false);
     if (code != 0) {
         throw std::runtime_error("the initial configuration was rejected: " + output);
     }
     for (const auto &vm : m_daemons) {
         const bool ready = eventually([&] {
-            const auto now = status(vm);
+            const auto currentStatus = status(vm);
             bool targetsKnown = true;
-            for (const auto &target : now["targets"]) {
-                const bool local = target["failureDomain"] == now["failureDomain"];
+            for (const auto &target : currentStatus["targets"]) {
+                const bool local = target["failureDomain"] == currentStatus["failureDomain"];
                 targetsKnown = targetsKnown && (!local || target["condition"] == "serving");
             }
-            return now["state"] == "serving" && targetsKnown
-                && now["peers"].size() + 1 >= static_cast<std::size_t>(shape.daemonsEach);
+            return currentStatus["state"] == "serving" && targetsKnown
+                && currentStatus["peers"].size() + 1 >= static_cast<std::size_t>(options.daemonsPerDomain);
         });
         if (!ready) {
             throw std::runtime_error(vm + " is not ready; its status is: " + status(vm).dump());
@@ -199,9 +199,9 @@
 
 Process &Fleet::startEngine(const std::string &name, const std::string &listen)
 {
-    return start(name, "standin-engine",
-                 {"--time-scale", std::to_string(m_shape.timeScale), "--report-lag-ms", "50", "--kv-tokens",
-                  std::to_string(m_shape.engineTokens), "--listen", listen});
+    return startProgram(name, "standin-engine",
+                        {"--time-scale", std::to_string(m_options.timeScale), "--report-lag-ms", "50", "--kv-tokens",
+                         std::to_string(m_options.engineTokens), "--listen", listen});
 }
 
 void Fleet::restartEngine(const std::string &engine)
@@ -209,10 +209,10 @@
     startEngine(engine, process(engine).address("listen"));
 }
 
-std::string Fleet::behindProxy(const std::string &name, bool proxied)
+std::string Fleet::proxiedAddress(const std::string &name, bool useProxy)
 {
     const auto target = process(name).address("listen");
-    return proxied ? start(name + "-proxy", "fault-proxy", {"--target", target}).address("tcp") : target;
+    return useProxy ? startProgram(name + "-proxy", "fault-proxy", {"--target", target}).address("tcp") : target;
 }
 
 std::string Fleet::writeSettings(const std::string &vm, const std::string &domain, const nlohmann::json &extras)
@@ -225,13 +225,13 @@
         {"adminAddress", "127.0.0.1:0"},
         {"peerAddress", "127.0.0.1:0"},
         {"rpcAddress", "127.0.0.1:0"},
-        {"platform", {m_platformForDaemons}},
+        {"platform", {m_daemonPlatformAddress}},
         {"peerKey", "test"},
         {"timing", {{"heartbeatMs", 200}, {"peerTimeoutMs", 1000}, {"loadPollMs", 100}, {"startSpreadMs", 100}}}};
-    if (domain == m_shape.platformlessDomain) {
+    if (domain == m_options.domainWithoutPlatform) {
         settings["platform"] = {"127.0.0.1:1"};
     }
-    settings.merge_patch(m_shape.daemonExtras);
+    settings.merge_patch(m_options.extraDaemonSettings);
     settings.merge_patch(extras);
     const auto path = m_directory.file(vm + ".json");
     std::ofstream(path) << settings.dump();
@@ -241,7 +241,7 @@
 Process &Fleet::startDaemon(const std::string &vm, const std::string &domain)
 {
     auto extras = nlohmann::json::object();
-    if (domain == m_shape.platformlessDomain) {
+    if (domain == m_options.domainWithoutPlatform) {
         extras["seeds"] = nlohmann::json::array();
         for (const auto &other : m_daemons) {
             if (other.starts_with(domain)) {
@@ -249,7 +249,7 @@
             }
         }
     }
-    auto &daemon = start(vm, "spurlugd", {"--settings", writeSettings(vm, domain, extras)});
+    auto &daemon = startProgram(vm, "spurlugd", {"--settings", writeSettings(vm, domain, extras)});
     if (std::find(m_daemons.begin(), m_daemons.end(), vm) == m_daemons.end()) {
         m_daemons.push_back(vm);
     }
@@ -261,7 +261,8 @@
     return daemon;
 }
 
-Process &Fleet::start(const std::string &name, const std::string &program, const std::vector<std::string> &arguments)
+Process &Fleet::startProgram(const std::string &name, const std::string &program,
+                             const std::vector<std::string> &arguments)
 {
     m_processes[name] = nullptr;
     m_processes[name] = std::make_unique<Process>(m_directory, name, program, arguments);
@@ -273,13 +274,13 @@
     return m_configuration;
 }
 
-std::pair<int, std::string> Fleet::apply(bool wait)
+std::pair<int, std::string> Fleet::applyConfiguration(bool wait)
 {
     const auto path = m_directory.file("configuration.json");
     std::ofstream(path) << m_configuration.dump();
     std::vector<std::string> arguments{"apply", path, "--platform", process("platform").address("listen")};
     if (wait) {
-        arguments.insert(arguments.end(), {"--wait", "--daemon", admin(m_daemons.front())});
+        arguments.insert(arguments.end(), {"--wait", "--daemon", adminAddress(m_daemons.front())});
     }
     return runProgram("spurlugctl", arguments);
 }
@@ -299,19 +300,19 @@
     return m_engines;
 }
 
-std::string Fleet::caller(const std::string &vm)
+std::string Fleet::callerAddress(const std::string &vm)
 {
     return process(vm).address("callers");
 }
 
-std::string Fleet::admin(const std::string &vm)
+std::string Fleet::adminAddress(const std::string &vm)
 {
     return process(vm).address("admin");
 }
 
 nlohmann::json Fleet::status(const std::string &vm)
 {
-    return call(admin(vm), "GET", "/status").json();
+    return call(adminAddress(vm), "GET", "/status").json();
 }
 
 nlohmann::json Fleet::engineState(const std::string &engine)
@@ -321,7 +322,7 @@
 
 double Fleet::metric(const std::string &vm, const std::string &name)
 {
-    const auto text = call(admin(vm), "GET", "/metrics").body;
+    const auto text = call(adminAddress(vm), "GET", "/metrics").body;
     const auto line = text.find("\nspurlug_" + name + " ");
     if (line == std::string::npos) {
         throw std::runtime_error("the daemon does not report the metric " + name);
@@ -329,11 +330,11 @@
     return std::stod(text.substr(line + std::string("\nspurlug_ ").size() + name.size()));
 }
 
-void Fleet::setFaults(const std::string &proxied, const nlohmann::json &faults)
+void Fleet::setFaults(const std::string &proxiedProgram, const nlohmann::json &faults)
 {
-    const auto answer = call(process(proxied + "-proxy").address("admin"), "POST", "/faults", faults.dump());
+    const auto answer = call(process(proxiedProgram + "-proxy").address("admin"), "POST", "/faults", faults.dump());
     if (answer.status != 200) {
-        throw std::runtime_error("the fault proxy of " + proxied + " rejected the faults");
+        throw std::runtime_error("the fault proxy of " + proxiedProgram + " rejected the faults");
     }
 }
 
@@ -352,12 +353,12 @@
                               {"stream", stream},
                               {"max_tokens", answerTokens},
                               {"messages", {{{"role", "user"}, {"content", prompt}}}}};
-    auto all = headers;
-    all.emplace("Authorization", std::string("Bearer ") + Key);
-    return call(caller(vm), "POST", "/v1/chat/completions", body.dump(), all);
+    auto allHeaders = headers;
+    allHeaders.emplace("Authorization", std::string("Bearer ") + ApiKey);
+    return call(callerAddress(vm), "POST", "/v1/chat/completions", body.dump(), allHeaders);
 }
 
-std::string Fleet::expected(const std::string &prompt, int answerTokens)
+std::string Fleet::expectedAnswer(const std::string &prompt, int answerTokens)
 {
     const auto seed = core::fastHash(prompt);
     std::string text;
@@ -367,7 +368,7 @@
     return text;
 }
 
-std::string Fleet::promptOf(std::int64_t tokens, const std::string &seed)
+std::string Fleet::makePrompt(std::int64_t tokens, const std::string &seed)
 {
     std::string prompt = seed + " ";
     const std::string sentence = "the deck manifest lists every vehicle and its place. ";
--- a/tests/support/process.cpp
+++ b/tests/support/process.cpp
@@ -42,14 +42,14 @@
     return text.str();
 }
 
-std::vector<char *> argumentArray(std::vector<std::string> &arguments)
+std::vector<char *> toArgv(std::vector<std::string> &arguments)
 {
-    std::vector<char *> array;
+    std::vector<char *> argv;
     for (auto &argument : arguments) {
-        array.push_back(argument.data());
+        argv.push_back(argument.data());
     }
-    array.push_back(nullptr);
-    return array;
+    argv.push_back(nullptr);
+    return argv;
 }
 
 } // namespace
@@ -80,29 +80,29 @@
 {
     const auto portsFile = directory.file(name + ".ports");
     std::filesystem::remove(portsFile);
-    std::vector<std::string> all{programPath(program)};
-    all.insert(all.end(), arguments.begin(), arguments.end());
-    all.insert(all.end(), {"--ports-file", portsFile});
-    auto array = argumentArray(all);
+    std::vector<std::string> commandLine{programPath(program)};
+    commandLine.insert(commandLine.end(), arguments.begin(), arguments.end());
+    commandLine.insert(commandLine.end(), {"--ports-file", portsFile});
+    auto argv = toArgv(commandLine);
     const int log = open(m_logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     m_pid = fork();
     if (m_pid == 0) {
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         dup2(log, STDOUT_FILENO);
         dup2(log, STDERR_FILENO);
-        execv(array[0], array.data());
+        execv(argv[0], argv.data());
         _exit(127);
     }
     close(log);
-    const auto until = std::chrono::steady_clock::now() + StartTimeout;
+    const auto deadline = std::chrono::steady_clock::now() + StartTimeout;
     while (!std::filesystem::exists(portsFile)) {
         int status = 0;
-        if (waitpid(m_pid, &status, WNOHANG) == m_pid || std::chrono::steady_clock::now() > until) {
+        if (waitpid(m_pid, &status, WNOHANG) == m_pid || std::chrono::steady_clock::now() > deadline) {
             throw std::runtime_error(name + " did not start: " + this->log());
         }
         std::this_thread::sleep_for(PollInterval);
     }
-    m_ports = nlohmann::json::parse(readFile(portsFile));
+    m_addresses = nlohmann::json::parse(readFile(portsFile));
 }
 
 Process::~Process()
@@ -112,7 +112,7 @@
 
 std::string Process::address(const std::string &key) const
 {
-    return m_ports.at(key);
+    return m_addresses.at(key);
 }
 
 void Process::signal(int number) const
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -56,7 +56,7 @@
 private:
     int m_pid = -1;
     std::string m_logFile;
-    nlohmann::json m_ports;
+    nlohmann::json m_addresses;
 };
 
 /// \brief Runs a program of the build until it exits. \returns The exit code, and the standard output and error output.
--- a/tests/unit/config_test.cpp
+++ b/tests/unit/config_test.cpp
@@ -33,21 +33,21 @@
 std::vector<core::Fault> faultsOf(const nlohmann::json &document)
 {
     std::vector<core::Fault> faults;
-    static_cast<void>(config::readConfiguration(document, 1, faults));
+    static_cast<void>(config::parseConfiguration(document, 1, faults));
     return faults;
 }
 
-struct Stored
+struct StoredConfiguration
 {
     std::string root;
     config::PartTexts texts;
 };
 
-Stored stored(const nlohmann::json &document, std::int64_t generation)
+StoredConfiguration storedConfiguration(const nlohmann::json &document, std::int64_t generation)
 {
     auto split = config::splitDocument(document);
     config::Root root{generation, "change", "author", split.parts, {}};
-    return {config::writeRoot(root), std::move(split.texts)};
+    return {config::serialiseRoot(root), std::move(split.texts)};
 }
 
 std::string settingsFault(const std::string &text)
@@ -72,7 +72,7 @@
 
 BOOST_AUTO_TEST_SUITE(config_tests)
 
-BOOST_AUTO_TEST_CASE(settings_tell_the_pointer_of_a_fault)
+BOOST_AUTO_TEST_CASE(settings_errors_name_the_json_pointer)
 {
     const std::string valid = ValidSettings;
     BOOST_TEST(settingsFault("{" + valid + "}") == "");
@@ -83,7 +83,7 @@
     BOOST_TEST(settingsFault("{").find("expected a JSON document") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_document_with_faults_lists_all_of_them)
+BOOST_AUTO_TEST_CASE(all_faults_of_a_document_are_listed)
 {
     auto document = validDocument();
     BOOST_TEST(faultsOf(document).empty());
@@ -94,7 +94,7 @@
     BOOST_TEST(faultsOf(document).size() == 4);
 }
 
-BOOST_AUTO_TEST_CASE(parts_join_to_the_document_they_were_cut_from)
+BOOST_AUTO_TEST_CASE(joined_parts_equal_the_split_document)
 {
     auto document = validDocument();
     for (int i = 0; i < 500; ++i) {
@@ -102,7 +102,7 @@
     }
     const auto split = config::splitDocument(document);
     const config::Root root{1, "c", "a", split.parts, {}};
-    auto joined = config::joinDocument(config::readRoot(config::writeRoot(root)), split.texts);
+    auto joined = config::joinDocument(config::parseRoot(config::serialiseRoot(root)), split.texts);
     const auto byName = [](const auto &left, const auto &right) { return left.at("name") < right.at("name"); };
     std::sort(joined["organisations"].begin(), joined["organisations"].end(), byName);
     std::sort(document["organisations"].begin(), document["organisations"].end(), byName);
@@ -127,7 +127,7 @@
 
 BOOST_AUTO_TEST_CASE(a_tampered_part_is_refused)
 {
-    auto parts = stored(validDocument(), 1);
+    auto parts = storedConfiguration(validDocument(), 1);
     parts.texts.begin()->second += " ";
     config::Store store([](const auto &) {});
     BOOST_TEST((store.offer(parts.root, parts.texts) == config::OfferResult::Refused));
@@ -135,31 +135,31 @@
     BOOST_TEST(store.refusedGeneration() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_store_never_goes_back)
+BOOST_AUTO_TEST_CASE(a_store_never_activates_an_older_generation)
 {
     std::vector<std::int64_t> applied;
     config::Store store([&](const auto &configuration) { applied.push_back(configuration->generation); });
     for (const std::int64_t generation : {3, 2, 5, 5, 1, 4, 6}) {
-        const auto parts = stored(validDocument(), generation);
+        const auto parts = storedConfiguration(validDocument(), generation);
         store.offer(parts.root, parts.texts);
     }
     const std::vector<std::int64_t> expected{3, 5, 6};
     BOOST_TEST(applied == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_generation_leaves_the_one_in_force)
+BOOST_AUTO_TEST_CASE(a_refused_generation_keeps_the_active_one)
 {
     config::Store store([](const auto &) {});
-    const auto valid = stored(validDocument(), 1);
+    const auto valid = storedConfiguration(validDocument(), 1);
     store.offer(valid.root, valid.texts);
     auto document = validDocument();
     document["pools"][0].erase("model");
-    const auto invalid = stored(document, 2);
+    const auto invalid = storedConfiguration(document, 2);
     BOOST_TEST((store.offer(invalid.root, invalid.texts) == config::OfferResult::Refused));
     BOOST_TEST(store.generation() == 1);
     BOOST_TEST(store.refusal().find("/pools/0/model") != std::string::npos);
-    const auto mended = stored(validDocument(), 3);
-    BOOST_TEST((store.offer(mended.root, mended.texts) == config::OfferResult::Applied));
+    const auto corrected = storedConfiguration(validDocument(), 3);
+    BOOST_TEST((store.offer(corrected.root, corrected.texts) == config::OfferResult::Applied));
 }
 
 BOOST_AUTO_TEST_CASE(a_key_finds_its_organisation_and_no_other)
@@ -167,7 +167,7 @@
     auto document = validDocument();
     document["organisations"][0]["keys"] = {{{"salt", "s"}, {"digest", config::keyDigest("s", "s.secret")}}};
     std::vector<core::Fault> faults;
-    const auto configuration = config::readConfiguration(document, 1, faults);
+    const auto configuration = config::parseConfiguration(document, 1, faults);
     BOOST_REQUIRE(configuration->organisationForKey("s.secret") != nullptr);
     BOOST_TEST(configuration->organisationForKey("s.secret")->name == "o");
     BOOST_TEST(configuration->organisationForKey("s.secreT") == nullptr);
--- a/tests/unit/core_test.cpp
+++ b/tests/unit/core_test.cpp
@@ -22,17 +22,17 @@
 
 BOOST_AUTO_TEST_SUITE(core_tests)
 
-BOOST_AUTO_TEST_CASE(every_reason_has_a_name_of_its_own)
+BOOST_AUTO_TEST_CASE(every_reason_has_a_unique_name)
 {
     std::set<std::string_view> names;
     for (const auto &row : core::EnumNames<core::Reason>::table) {
         names.insert(row.name);
-        BOOST_TEST((core::valueNamed<core::Reason>(row.name) == row.value));
+        BOOST_TEST((core::enumFromName<core::Reason>(row.name) == row.value));
     }
-    BOOST_TEST(names.size() == static_cast<std::size_t>(core::Reason::LifeOver) + 1);
+    BOOST_TEST(names.size() == static_cast<std::size_t>(core::Reason::IncarnationEnded) + 1);
 }
 
-BOOST_AUTO_TEST_CASE(addresses_are_read_and_written)
+BOOST_AUTO_TEST_CASE(addresses_are_parsed_and_formatted)
 {
     BOOST_TEST(core::parseAddress("10.0.0.1:80").text() == "10.0.0.1:80");
     for (const auto *wrong : {"", "host", ":80", "host:", "host:70000", "host:8x"}) {
@@ -40,7 +40,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_leaves_moves_only_its_own_items)
+BOOST_AUTO_TEST_CASE(removing_a_node_moves_only_its_items)
 {
     const std::vector<std::string> nodes{"a", "b", "c", "d"};
     const std::vector<std::string> fewer{"a", "b", "d"};
@@ -60,7 +60,7 @@
     BOOST_TEST(moved < 300);
 }
 
-BOOST_AUTO_TEST_CASE(items_are_shared_out_evenly_and_few_move)
+BOOST_AUTO_TEST_CASE(items_are_assigned_evenly_and_few_move)
 {
     std::vector<std::string> items;
     for (int i = 0; i < 60; ++i) {
@@ -70,33 +70,33 @@
     for (int i = 0; i < 42; ++i) {
         nodes.push_back("vm-" + std::to_string(i));
     }
-    const auto before = core::shareOut(items, nodes, 2);
+    const auto before = core::assignByRendezvous(items, nodes, 2);
     std::map<std::string, int> counts;
     for (const auto &[item, node] : before) {
         BOOST_TEST(++counts[node] <= 2);
     }
     BOOST_TEST(before.size() == 60);
-    const auto lost = nodes.back();
+    const auto removedNode = nodes.back();
     nodes.pop_back();
-    const auto after = core::shareOut(items, nodes, 2);
+    const auto after = core::assignByRendezvous(items, nodes, 2);
     int moved = 0;
     for (const auto &[item, node] : before) {
         moved += after.at(item) != node ? 1 : 0;
     }
     BOOST_TEST(moved <= 8);
-    BOOST_TEST(core::shareOut(items, {"a"}, 2).size() == 60);
-    BOOST_TEST(core::shareOut(items, {}, 2).empty());
+    BOOST_TEST(core::assignByRendezvous(items, {"a"}, 2).size() == 60);
+    BOOST_TEST(core::assignByRendezvous(items, {}, 2).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_reader_notes_every_fault_with_its_pointer)
+BOOST_AUTO_TEST_CASE(a_reader_records_every_fault_with_its_pointer)
 {
     const auto document = nlohmann::json::parse(R"({"name": 3, "port": 99999, "extra": 1, "list": [{"id": ""}]})");
     std::vector<core::Fault> faults;
     core::ObjectReader reader(document, "", faults);
-    static_cast<void>(reader.text("name"));
+    static_cast<void>(reader.string("name"));
     static_cast<void>(reader.integer("port", 1, 65535));
-    reader.objects("list", [](core::ObjectReader &child) { static_cast<void>(child.text("id")); });
-    reader.rejectOthers();
+    reader.forEachObject("list", [](core::ObjectReader &child) { static_cast<void>(child.string("id")); });
+    reader.rejectUnknownMembers();
     std::vector<std::string> pointers;
     for (const auto &fault : faults) {
         pointers.push_back(fault.pointer);
@@ -105,35 +105,35 @@
     BOOST_TEST(pointers == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_pool_refuses_beyond_its_bounds_and_runs_what_it_took)
+BOOST_AUTO_TEST_CASE(a_pool_rejects_tasks_beyond_its_limits_and_runs_accepted_ones)
 {
     absl::Notification release;
-    std::atomic<int> ran{0};
+    std::atomic<int> executed{0};
     core::WorkerPool pool(2, 1);
-    int taken = 0;
+    int accepted = 0;
     for (int i = 0; i < 5; ++i) {
-        taken += pool.tryRun([&] {
+        accepted += pool.trySubmit([&] {
             release.WaitForNotification();
-            ++ran;
+            ++executed;
         })
             ? 1
             : 0;
     }
-    BOOST_TEST(taken >= 3);
-    BOOST_TEST(taken < 5);
+    BOOST_TEST(accepted >= 3);
+    BOOST_TEST(accepted < 5);
     release.Notify();
     pool.stop();
-    BOOST_TEST(ran == taken);
-    BOOST_TEST(!pool.tryRun([] {}));
+    BOOST_TEST(executed == accepted);
+    BOOST_TEST(!pool.trySubmit([] {}));
 }
 
 // While a VM is suspended, its steady clock stops and its boot clock advances. Timeouts must follow the boot clock.
-BOOST_AUTO_TEST_CASE(timers_go_by_the_clock_that_counts_suspensions)
+BOOST_AUTO_TEST_CASE(timers_use_the_clock_that_advances_during_suspension)
 {
     const auto before = core::now();
-    const auto shown = absl::UnixEpoch() + absl::FromChrono(net::Timer::clock_type::now().time_since_epoch());
+    const auto timerTime = absl::UnixEpoch() + absl::FromChrono(net::Timer::clock_type::now().time_since_epoch());
     const auto after = core::now();
-    BOOST_TEST((before <= shown && shown <= after));
+    BOOST_TEST((before <= timerTime && timerTime <= after));
     timespec boot{};
     clock_gettime(CLOCK_BOOTTIME, &boot);
     BOOST_TEST((absl::TimeFromTimespec(boot) >= after));
--- a/tests/unit/fleet_growth_test.cpp
+++ b/tests/unit/fleet_growth_test.cpp
@@ -26,17 +26,17 @@
 using namespace spurlug::relay;
 using namespace spurlug::test;
 
-constexpr std::size_t Domains = 5;
+constexpr std::size_t DomainCount = 5;
 constexpr std::size_t DatagramOverhead = 28; // IP and UDP headers, bytes.
-constexpr auto Way = absl::Milliseconds(2);
+constexpr auto DatagramDelay = absl::Milliseconds(2);
 constexpr std::uint16_t Port = 7340;
 /// A heartbeat round of a large fleet takes at most 2.2 s. A new registrar has heard its whole domain after two rounds,
 /// the other registrars hear of it in the third, and their domains in the fourth.
-constexpr auto KnownAfter = absl::Seconds(10);
+constexpr auto MaxAgreementTime = absl::Seconds(10);
 /// A daemon counts as dead after 7 s of silence; three such rounds follow.
-constexpr auto DeathKnownAfter = absl::Seconds(14);
+constexpr auto MaxFailureDetectionTime = absl::Seconds(14);
 /// The fleet-wide retry budget assumes that daemons know the size of their failure domain by then.
-constexpr auto DomainKnownAfter = absl::Milliseconds(1500);
+constexpr auto MaxDomainDiscoveryTime = absl::Milliseconds(1500);
 
 /// Simulates a fleet of daemons that exchange heartbeats, in one thread and without sockets.
 class Fleet
@@ -63,12 +63,12 @@
 
     void kill(std::size_t number)
     {
-        m_daemons[number]->lives = false;
+        m_daemons[number]->isRunning = false;
     }
 
-    void cut(std::size_t domain, bool isCut)
+    void setPartitioned(std::size_t domain, bool isPartitioned)
     {
-        m_cutDomain = isCut ? domain : Domains;
+        m_partitionedDomain = isPartitioned ? domain : DomainCount;
     }
 
     void restart(std::size_t number)
@@ -93,14 +93,14 @@
         return m_now;
     }
 
-    void forgetTraffic()
+    void resetTraffic()
     {
         for (const auto &daemon : m_daemons) {
             daemon->bytes = 0;
         }
     }
 
-    /// Bytes that a daemon sent and received since the last forgetTraffic(), headers included.
+    /// Bytes that a daemon sent and received since the last resetTraffic(), headers included.
     [[nodiscard]] double bytes(std::size_t number) const
     {
         return static_cast<double>(m_daemons[number]->bytes);
@@ -115,26 +115,26 @@
         return sum / static_cast<double>(size());
     }
 
-    [[nodiscard]] double mostBytes() const
+    [[nodiscard]] double maxBytes() const
     {
-        double most = 0;
+        double maximum = 0;
         for (std::size_t i = 0; i < size(); ++i) {
-            most = std::max(most, bytes(i));
+            maximum = std::max(maximum, bytes(i));
         }
-        return most;
+        return maximum;
     }
 
     /// Whether all running daemons count `size` daemons and agree on the scheduler.
-    [[nodiscard]] bool agree(std::size_t size) const
+    [[nodiscard]] bool daemonsAgree(std::size_t size) const
     {
         const RelayContext *first = nullptr;
         for (const auto &daemon : m_daemons) {
-            if (!daemon->lives) {
+            if (!daemon->isRunning) {
                 continue;
             }
             const auto &known = daemon->context;
             first = first == nullptr ? &known : first;
-            const bool same = known.daemons == size && scheduler(known) == scheduler(*first);
+            const bool same = known.daemonCount == size && scheduler(known) == scheduler(*first);
             if (!same) {
                 return false;
             }
@@ -143,13 +143,13 @@
     }
 
     /// Runs the fleet until its daemons agree and returns the time that it took; infinite if a minute is not enough.
-    [[nodiscard]] core::Duration untilAgreed(std::size_t size)
+    [[nodiscard]] core::Duration timeToAgreement(std::size_t size)
     {
         const auto begin = m_now;
-        while (!agree(size) && m_now - begin < absl::Minutes(1)) {
+        while (!daemonsAgree(size) && m_now - begin < absl::Minutes(1)) {
             run(absl::Milliseconds(100));
         }
-        return agree(size) ? m_now - begin : absl::InfiniteDuration();
+        return daemonsAgree(size) ? m_now - begin : absl::InfiniteDuration();
     }
 
     [[nodiscard]] static std::string scheduler(const RelayContext &context)
@@ -161,8 +161,8 @@
 private:
     struct Daemon
     {
-        Daemon(net::Loop &loop, settings::RelaySettings given, FleetMembership::Send send, core::Time now)
-            : settings(std::move(given))
+        Daemon(net::Loop &loop, settings::RelaySettings initialSettings, FleetMembership::Send send, core::Time now)
+            : settings(std::move(initialSettings))
             , context(loop, settings, metrics, now)
             , membership(context, std::move(send))
         {
@@ -173,23 +173,23 @@
         metrics::Metrics metrics;
         RelayContext context;
         FleetMembership membership;
-        bool lives = true;
-        int life = 0; ///< Number of this start, counted over all daemons.
+        bool isRunning = true;
+        int startNumber = 0; ///< Number of this start, counted over all daemons.
         std::size_t bytes = 0;
     };
 
     struct Event
     {
         core::Time at;
-        std::uint64_t number = 0; ///< Orders events of the same time by their creation.
+        std::uint64_t sequence = 0; ///< Orders events of the same time by their creation.
         std::size_t daemon = 0;
         std::size_t sender = 0;
         std::shared_ptr<const std::string> datagram; ///< Null if the daemon's next round is due.
-        int life = 0; ///< Start of the daemon whose round is due.
+        int startNumber = 0; ///< Start of the daemon whose round is due.
 
         [[nodiscard]] bool operator<(const Event &other) const
         {
-            return at != other.at ? at > other.at : number > other.number;
+            return at != other.at ? at > other.at : sequence > other.sequence;
         }
     };
 
@@ -214,8 +214,8 @@
     {
         settings::RelaySettings settings;
         settings.vm = core::cat("front-some-hall-", number);
-        settings.failureDomain = core::cat("hall-", number % Domains);
-        for (std::size_t domain = 0; domain < Domains; ++domain) {
+        settings.failureDomain = core::cat("hall-", number % DomainCount);
+        for (std::size_t domain = 0; domain < DomainCount; ++domain) {
             settings.failureDomains.push_back(core::cat("hall-", domain));
         }
         settings.processorShare = share;
@@ -226,55 +226,56 @@
         }
         auto send = [this, number](const core::Address &to, const std::string &datagram) {
             m_daemons[number]->bytes += datagram.size() + DatagramOverhead;
-            push(m_now + Way, numberOf(to), number, std::make_shared<const std::string>(datagram), 0);
+            push(m_now + DatagramDelay, numberOf(to), number, std::make_shared<const std::string>(datagram), 0);
         };
         auto daemon = std::make_unique<Daemon>(m_loop, std::move(settings), std::move(send), m_now);
         m_daemons.resize(std::max(m_daemons.size(), number + 1));
-        daemon->life = ++m_newestLife;
+        daemon->startNumber = ++m_lastStartNumber;
         m_daemons[number] = std::move(daemon);
         // The daemons start within 0.3 s.
-        const auto spread = absl::Milliseconds(static_cast<double>(number * 37 % 300));
-        push(m_now + spread, number, number, nullptr, m_newestLife);
+        const auto startDelay = absl::Milliseconds(static_cast<double>(number * 37 % 300));
+        push(m_now + startDelay, number, number, nullptr, m_lastStartNumber);
     }
 
     void push(core::Time at, std::size_t daemon, std::size_t sender, std::shared_ptr<const std::string> datagram,
-              int life)
+              int startNumber)
     {
-        m_events.push({at, ++m_newestEvent, daemon, sender, std::move(datagram), life});
+        m_events.push({at, ++m_lastSequence, daemon, sender, std::move(datagram), startNumber});
     }
 
-    [[nodiscard]] bool reaches(std::size_t from, std::size_t to) const
+    [[nodiscard]] bool isReachable(std::size_t from, std::size_t to) const
     {
-        return from % Domains == to % Domains || (from % Domains != m_cutDomain && to % Domains != m_cutDomain);
+        return from % DomainCount == to % DomainCount
+            || (from % DomainCount != m_partitionedDomain && to % DomainCount != m_partitionedDomain);
     }
 
     void handle(const Event &event)
     {
         auto &daemon = *m_daemons[event.daemon];
-        if (!daemon.lives) {
+        if (!daemon.isRunning) {
             return;
         }
         if (event.datagram) {
-            if (!reaches(event.sender, event.daemon)) {
+            if (!isReachable(event.sender, event.daemon)) {
                 return;
             }
             daemon.bytes += event.datagram->size() + DatagramOverhead;
             if (const auto heartbeat = membership::readHeartbeat(*event.datagram, "")) {
-                daemon.membership.take(*heartbeat, m_now);
+                daemon.membership.handleHeartbeat(*heartbeat, m_now);
             }
             return;
         }
-        if (event.life == daemon.life) {
+        if (event.startNumber == daemon.startNumber) {
             daemon.membership.sendRound(m_now);
-            push(m_now + daemon.membership.interval(m_now), event.daemon, event.daemon, nullptr, daemon.life);
+            push(m_now + daemon.membership.interval(m_now), event.daemon, event.daemon, nullptr, daemon.startNumber);
         }
     }
 
     net::Loop m_loop;
     core::Time m_now = absl::FromUnixSeconds(1000);
-    std::uint64_t m_newestEvent = 0;
-    int m_newestLife = 0;
-    std::size_t m_cutDomain = Domains;
+    std::uint64_t m_lastSequence = 0;
+    int m_lastStartNumber = 0;
+    std::size_t m_partitionedDomain = DomainCount;
     std::vector<std::unique_ptr<Daemon>> m_daemons;
     std::priority_queue<Event> m_events;
 };
@@ -283,58 +284,58 @@
 
 BOOST_AUTO_TEST_SUITE(fleet_growth)
 
-BOOST_AUTO_TEST_CASE(what_an_idle_daemon_sends_and_hears_does_not_grow_with_the_fleet)
+BOOST_AUTO_TEST_CASE(traffic_of_an_idle_daemon_does_not_grow_with_the_fleet)
 {
     constexpr double BytesPerSecond = 5'000; // Sent and received; all control traffic may use 15 KB/s.
-    constexpr double Span = 6;
-    double smaller = 0;
+    constexpr double MeasuredSeconds = 6;
+    double previousMean = 0;
     for (const std::size_t size : {1000, 2000}) {
         Fleet fleet(size);
-        const auto agreed = fleet.untilAgreed(size);
-        BOOST_TEST(agreed <= KnownAfter);
+        const auto agreementTime = fleet.timeToAgreement(size);
+        BOOST_TEST(agreementTime <= MaxAgreementTime);
         fleet.run(absl::Seconds(4)); // Daemons that have just started send more often.
-        fleet.forgetTraffic();
-        fleet.run(absl::Seconds(Span));
-        const auto mean = fleet.meanBytes() / Span;
-        BOOST_TEST_MESSAGE(size << " daemons: mean " << mean << " B/s, most " << fleet.mostBytes() / Span
-                                << " B/s, agreed after " << agreed);
+        fleet.resetTraffic();
+        fleet.run(absl::Seconds(MeasuredSeconds));
+        const auto mean = fleet.meanBytes() / MeasuredSeconds;
+        BOOST_TEST_MESSAGE(size << " daemons: mean " << mean << " B/s, most " << fleet.maxBytes() / MeasuredSeconds
+                                << " B/s, agreed after " << agreementTime);
         BOOST_TEST(mean <= BytesPerSecond);
-        BOOST_TEST((smaller == 0 || mean <= smaller * 1.1));
-        smaller = mean;
+        BOOST_TEST((previousMean == 0 || mean <= previousMean * 1.1));
+        previousMean = mean;
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_death_a_return_and_a_cut_are_known_to_all)
+BOOST_AUTO_TEST_CASE(all_daemons_learn_of_a_failure_a_restart_and_a_partition)
 {
     constexpr std::size_t Size = 300;
     Fleet fleet(Size);
-    BOOST_REQUIRE((fleet.untilAgreed(Size) <= KnownAfter));
+    BOOST_REQUIRE((fleet.timeToAgreement(Size) <= MaxAgreementTime));
     fleet.run(absl::Seconds(5));
     std::size_t scheduler = 0;
     while (fleet.context(scheduler).settings.vm != Fleet::scheduler(fleet.context(0))) {
         ++scheduler;
     }
     fleet.kill(scheduler);
-    const auto afterDeath = fleet.untilAgreed(Size - 1);
-    BOOST_TEST_MESSAGE("all daemons know of the death of the scheduler after " << afterDeath);
-    BOOST_TEST((afterDeath <= DeathKnownAfter));
+    const auto detectionTime = fleet.timeToAgreement(Size - 1);
+    BOOST_TEST_MESSAGE("all daemons know of the death of the scheduler after " << detectionTime);
+    BOOST_TEST((detectionTime <= MaxFailureDetectionTime));
     fleet.restart(scheduler);
-    const auto afterReturn = fleet.untilAgreed(Size);
-    BOOST_TEST_MESSAGE("all daemons know of its return after " << afterReturn);
-    BOOST_TEST((afterReturn <= KnownAfter));
-    fleet.cut(2, true);
+    const auto rejoinTime = fleet.timeToAgreement(Size);
+    BOOST_TEST_MESSAGE("all daemons know of its return after " << rejoinTime);
+    BOOST_TEST((rejoinTime <= MaxAgreementTime));
+    fleet.setPartitioned(2, true);
     fleet.run(absl::Seconds(20));
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-        const bool inside = i % Domains == 2;
-        BOOST_TEST(fleet.context(i).daemons == (inside ? Size / Domains : Size - Size / Domains));
+        const bool isInside = i % DomainCount == 2;
+        BOOST_TEST(fleet.context(i).daemonCount == (isInside ? Size / DomainCount : Size - Size / DomainCount));
     }
-    fleet.cut(2, false);
-    const auto afterCut = fleet.untilAgreed(Size);
-    BOOST_TEST_MESSAGE("all daemons know of the end of the partition after " << afterCut);
-    BOOST_TEST((afterCut <= KnownAfter));
+    fleet.setPartitioned(2, false);
+    const auto recoveryTime = fleet.timeToAgreement(Size);
+    BOOST_TEST_MESSAGE("all daemons know of the end of the partition after " << recoveryTime);
+    BOOST_TEST((recoveryTime <= MaxAgreementTime));
 }
 
-BOOST_AUTO_TEST_CASE(all_that_are_killed_at_once_know_each_other_again_soon)
+BOOST_AUTO_TEST_CASE(daemons_that_are_killed_at_once_soon_know_each_other_again)
 {
     constexpr std::size_t Size = 300;
     Fleet fleet(Size);
@@ -343,28 +344,28 @@
         fleet.restart(i);
     }
     fleet.run(absl::Milliseconds(300)); // The last of them has started.
-    fleet.run(DomainKnownAfter);
+    fleet.run(MaxDomainDiscoveryTime);
     for (std::size_t i = 0; i < Size; ++i) {
-        BOOST_TEST(fleet.context(i).largestDomain == Size / Domains);
+        BOOST_TEST(fleet.context(i).largestDomainSize == Size / DomainCount);
     }
-    BOOST_TEST((fleet.untilAgreed(Size) <= KnownAfter));
+    BOOST_TEST((fleet.timeToAgreement(Size) <= MaxAgreementTime));
 }
 
 // Guards against a burst of calls to the store: when 985 daemons started together, each made ten calls, in all 0.16 of
 // the calls of a quiet day. After 3 s each daemon counted as serving, in its own view before any other one, and took
 // itself for the first holder of every role. The test fails if a daemon ranks itself by a state that the others have
 // not heard yet.
-BOOST_AUTO_TEST_CASE(no_daemon_takes_a_role_for_being_the_first_to_know_that_it_serves)
+BOOST_AUTO_TEST_CASE(no_daemon_takes_a_role_because_it_alone_knows_that_it_serves)
 {
     constexpr std::size_t Size = 300;
     Fleet fleet(Size);
-    fleet.run(DomainKnownAfter + absl::Milliseconds(300));
+    fleet.run(MaxDomainDiscoveryTime + absl::Milliseconds(300));
     std::set<std::string> readers;
     std::set<std::string> schedulers;
     for (int i = 0; i < 100; ++i) {
         for (std::size_t daemon = 0; daemon < Size; ++daemon) {
             const auto &context = fleet.context(daemon);
-            if (context.roster.holdsAtHome(control::Role::Reader, 1)) {
+            if (context.roster.holdsLocally(control::Role::DirectoryReader, 1)) {
                 readers.insert(context.settings.vm);
             }
             if (Fleet::scheduler(context) == context.settings.vm) {
@@ -373,8 +374,8 @@
         }
         fleet.run(absl::Milliseconds(100));
     }
-    BOOST_TEST(readers.size() <= Domains * 2); // The daemon that a domain hears of last may rank first.
-    BOOST_TEST(schedulers.size() <= Domains * 2);
+    BOOST_TEST(readers.size() <= DomainCount * 2); // The daemon that a domain hears of last may rank first.
+    BOOST_TEST(schedulers.size() <= DomainCount * 2);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/relay_fixtures.h
+++ b/tests/unit/relay_fixtures.h
@@ -35,20 +35,20 @@
 }
 
 /// \brief Returns the costs of an engine with 16 slots and KV memory for 200,000 tokens.
-inline config::EngineCosts engine()
+inline config::EngineCosts engineCosts()
 {
     config::EngineCosts costs;
     costs.stepMs = 1;
-    costs.readTokensPerMs = 200;
-    costs.pairsMsPerMillion = 0.1;
+    costs.prefillTokensPerMs = 200;
+    costs.prefillMsPerMillionPairs = 0.1;
     costs.stepsPerPass = 40;
     costs.slots = 16;
-    costs.memoryTokens = 200'000;
+    costs.kvMemoryTokens = 200'000;
     return costs;
 }
 
 /// \brief Returns `count` candidates without work.
-inline std::vector<Candidate> idle(std::size_t count)
+inline std::vector<Candidate> idleCandidates(std::size_t count)
 {
     Candidate candidate;
     candidate.slots = 16;
@@ -56,14 +56,14 @@
 }
 
 /// \brief Returns a request with a prompt of `tokens` tokens and an answer of 500 tokens.
-inline PromptRequest prompt(std::int64_t tokens, bool tight = true)
+inline PromptRequest promptRequest(std::int64_t tokens, bool shortGaps = true)
 {
     PromptRequest request;
     request.prompt = {tokens, 500};
-    request.aim = tight ? absl::Milliseconds(300) : absl::Milliseconds(2500);
-    request.tight = tight;
-    request.patience = absl::Seconds(10);
-    request.pauses = {absl::Milliseconds(250), absl::Milliseconds(600)};
+    request.ttftObjective = shortGaps ? absl::Milliseconds(300) : absl::Milliseconds(2500);
+    request.shortGaps = shortGaps;
+    request.callerTimeout = absl::Seconds(10);
+    request.toleratedGaps = {absl::Milliseconds(250), absl::Milliseconds(600)};
     return request;
 }
 
--- a/tests/unit/relay_state.h
+++ b/tests/unit/relay_state.h
@@ -7,8 +7,8 @@
 #include "relay_fixtures.h"
 
 #include "spurlug/relay/context.h"
-#include "spurlug/relay/follower.h"
-#include "spurlug/relay/request_facts.h"
+#include "spurlug/relay/directory_watcher.h"
+#include "spurlug/relay/request_info.h"
 
 namespace spurlug::test
 {
@@ -20,15 +20,15 @@
     settings::RelaySettings settings;
     metrics::Metrics metrics;
     RelayContext context{loop, settings, metrics};
-    DirectoryLink link{context, "targets"};
-    TargetIntake intake{context, link};
+    DirectoryAvailability directoryAvailability{context, "targets"};
+    TargetListUpdater targetListUpdater{context, directoryAvailability};
 };
 
 /// \brief Returns a configuration with one public route to engines.
-inline config::RouteTableRef chatTable(core::Duration aim = absl::Milliseconds(2500),
-                                       core::Duration gapAim = absl::InfiniteDuration())
+inline config::RouteTableRef chatTable(core::Duration latencyObjective = absl::Milliseconds(2500),
+                                       core::Duration gapObjective = absl::InfiniteDuration())
 {
-    auto table = core::makeCounted<config::RouteTable>();
+    auto table = core::makeRef<config::RouteTable>();
     table->version = 1;
     config::Route route;
     route.name = "chat";
@@ -37,36 +37,36 @@
     route.kind = config::RouteKind::Stream;
     route.services = {{"model", 1}};
     route.timeout = absl::Seconds(10);
-    route.aim = aim;
-    route.gapAim = gapAim;
+    route.latencyObjective = latencyObjective;
+    route.gapObjective = gapObjective;
     route.isPublic = true;
     route.resumable = true;
-    route.mostTargets = 2;
+    route.maxTargets = 2;
     table->routes.push_back(route);
     config::ServiceSpec service;
     service.name = "model";
-    service.engine = engine();
+    service.engine = engineCosts();
     table->services.emplace("model", service);
     return table;
 }
 
 /// \brief Returns a request with a prompt of 40,000 tokens for the route of chatTable().
-inline RequestFacts longPrompt()
+inline RequestInfo longPrompt()
 {
-    RequestFacts facts;
-    facts.id = "r";
-    facts.host = "a.example";
-    facts.path = "/";
-    facts.prompt = PromptFacts{40'000, 500};
-    return facts;
+    RequestInfo info;
+    info.id = "r";
+    info.host = "a.example";
+    info.path = "/";
+    info.prompt = PromptInfo{40'000, 500};
+    return info;
 }
 
 /// \brief Returns a request with a prompt of 4,000 tokens for the route of chatTable().
-inline RequestFacts shortPrompt()
+inline RequestInfo shortPrompt()
 {
-    auto facts = longPrompt();
-    facts.prompt = PromptFacts{4'000, 500};
-    return facts;
+    auto info = longPrompt();
+    info.prompt = PromptInfo{4'000, 500};
+    return info;
 }
 
 } // namespace spurlug::test
--- a/tests/unit/report_test.cpp
+++ b/tests/unit/report_test.cpp
@@ -4,7 +4,7 @@
 //----------------------------------------------------------------------------------------------------------------------
 
 #include "spurlug/report/log_report.h"
-#include "spurlug/report/repeat_report.h"
+#include "spurlug/report/retry_report.h"
 
 #include <boost/test/unit_test.hpp>
 #include <sstream>
@@ -35,27 +35,27 @@
     report::LogReport report{core::Duration(absl::Seconds(10))};
     std::istringstream lines(Lines);
     report.addAll(lines);
-    const auto figures = report.figures();
-    BOOST_REQUIRE(figures.size() == 1U); // A request that has not ended is not counted.
-    const auto &chat = figures.at("chat");
+    const auto statistics = report.statistics();
+    BOOST_REQUIRE(statistics.size() == 1U); // A request that has not ended is not counted.
+    const auto &chat = statistics.at("chat");
     BOOST_REQUIRE(chat.size() == 2U);
     const auto &first = chat.begin()->second;
     BOOST_TEST(first.requests == 2);
     BOOST_TEST(first.inTime == 0);
-    BOOST_TEST(first.longPause == 1);
-    BOOST_TEST(first.notWhole == 1);
-    BOOST_TEST(first.ends.at("caller_gone") == 1);
-    BOOST_TEST(first.resends.at("target_silent") == 1);
-    BOOST_TEST(first.readMs == 100);
-    BOOST_TEST(first.readInVainMs == 60);
-    BOOST_REQUIRE(first.firstToExpected.size() == 1U);
+    BOOST_TEST(first.longGap == 1);
+    BOOST_TEST(first.failed == 1);
+    BOOST_TEST(first.failureReasons.at("caller_gone") == 1);
+    BOOST_TEST(first.attemptFailures.at("target_silent") == 1);
+    BOOST_TEST(first.prefillMs == 100);
+    BOOST_TEST(first.wastedPrefillMs == 60);
+    BOOST_REQUIRE(first.firstEventRatios.size() == 1U);
     // The request was sent 100 ms after its arrival.
-    BOOST_TEST(first.firstToExpected.front() == 1.0, boost::test_tools::tolerance(1e-6));
+    BOOST_TEST(first.firstEventRatios.front() == 1.0, boost::test_tools::tolerance(1e-6));
     BOOST_TEST(chat.rbegin()->second.inTime == 1);
     BOOST_TEST(report.text().find("not whole: caller_gone 1") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(repeats_of_all_daemons_are_summed_in_every_window_against_the_bound)
+BOOST_AUTO_TEST_CASE(retries_of_all_daemons_are_summed_in_every_window_against_the_budget)
 {
     // Two requests of two daemons, each sent twice. The window with both retries begins 10 s before the later one.
     std::istringstream lines(
@@ -69,22 +69,22 @@
 {"time":"2026-01-01T10:00:12.5+00:00","event":"repeat_decided","request":"b","service":"model","cause":"target_refused","charge":"refused","linesLeftOut":3}
 {"time":"2026-01-01T10:00:30+00:00","event":"request_ended","request":"c","service":"plain","totalMs":10}
 )");
-    report::RepeatReport report;
+    report::RetryReport report;
     report.addAll(lines);
-    const auto nearest = report.nearest();
+    const auto nearest = report.closestToBudget();
     BOOST_REQUIRE(nearest.size() == 1U); // The service "plain" has no retries.
     const auto &model = nearest.at("model");
-    BOOST_TEST(model.repeats == 2);
+    BOOST_TEST(model.retries == 2);
     BOOST_TEST(model.requests == 1); // The windows (2, 12], (-3, 7] and (-8, 2] hold one each.
-    BOOST_TEST(model.allowed == 5.2, boost::test_tools::tolerance(1e-9));
+    BOOST_TEST(model.allowedRetries == 5.2, boost::test_tools::tolerance(1e-9));
     BOOST_TEST(model.causes.at("target_silent") == 1);
     BOOST_TEST(model.charges.at("slack") == 1);
     BOOST_TEST(report.refused() == 1);
-    BOOST_TEST(report.linesLeftOut() == 3);
+    BOOST_TEST(report.missingLines() == 3);
     BOOST_TEST(report.text().find("model from 10:00:02.0: 2 repeats of 1 requests, allowed 5;") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(repeats_are_summed_by_the_collector_s_clock_where_it_stamps_the_lines)
+BOOST_AUTO_TEST_CASE(retries_are_summed_by_the_collector_s_clock_if_it_stamps_the_lines)
 {
     // By the daemons' own clocks, the two retries are a minute apart.
     std::istringstream lines(
@@ -92,9 +92,9 @@
  1.0 vm-a {"time":"2026-01-01T10:00:01+00:00","event":"request_sent","request":"a","service":"model","repeatCause":"target_silent","waitedMs":0}
  2.0 vm-b {"time":"2026-01-01T10:01:02+00:00","event":"request_sent","request":"b","service":"model","repeatCause":"target_silent","waitedMs":0}
 )");
-    report::RepeatReport report;
+    report::RetryReport report;
     report.addAll(lines);
-    BOOST_TEST(report.nearest().at("model").repeats == 2);
+    BOOST_TEST(report.closestToBudget().at("model").retries == 2);
 }
 
 BOOST_AUTO_TEST_CASE(the_lines_of_a_request_come_in_the_order_of_their_times)
@@ -102,7 +102,7 @@
     std::istringstream lines("{\"time\":\"2026-01-01T10:00:02+00:00\",\"request\":\"a\",\"event\":\"later\"}\n"
                              "{\"time\":\"2026-01-01T10:00:01+00:00\",\"request\":\"a\",\"event\":\"earlier\"}\n"
                              "{\"time\":\"2026-01-01T10:00:00+00:00\",\"request\":\"b\",\"event\":\"other\"}\n");
-    const auto found = report::linesOf("a", lines);
+    const auto found = report::linesOfRequest("a", lines);
     BOOST_REQUIRE(found.size() == 2U);
     BOOST_TEST(found[0].find("earlier") != std::string::npos);
     BOOST_TEST(found[1].find("later") != std::string::npos);
--- a/tests/unit/request_waiting_test.cpp
+++ b/tests/unit/request_waiting_test.cpp
@@ -22,17 +22,18 @@
 BOOST_AUTO_TEST_CASE(time_lost_to_a_dead_connection_is_not_waiting_for_capacity)
 {
     RelayState state;
-    state.context.adopt(chatTable(absl::Milliseconds(300), absl::Milliseconds(250)), "{}", "test", at(0));
+    state.context.activateConfiguration(chatTable(absl::Milliseconds(300), absl::Milliseconds(250)), "{}", "test",
+                                        at(0));
     state.context.targets.put(entry("dead"));
     RequestProgress request(state.context, shortPrompt(), at(0));
     BOOST_REQUIRE(!request.authorise(at(0)));
     const auto chosen = request.choose(at(10));
     BOOST_REQUIRE(chosen.has_value());
-    request.begin(*chosen, "", at(10));
+    request.beginAttempt(*chosen, "", at(10));
     request.endAttempt(core::Outcome::NotRun, core::Reason::ConnectFailed, TargetFault::Unreachable, "", at(410));
-    BOOST_TEST(!request.waitedEnough(at(410)));
-    BOOST_TEST(!request.waitedEnough(at(699))); // 10 ms of the objective were spent waiting before.
-    BOOST_TEST(request.waitedEnough(at(700)));
+    BOOST_TEST(!request.waitExpired(at(410)));
+    BOOST_TEST(!request.waitExpired(at(699))); // 10 ms of the objective were spent waiting before.
+    BOOST_TEST(request.waitExpired(at(700)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
