--- a/include/spurlug/control/scheduler_client.h
+++ b/include/spurlug/control/scheduler_client.h
@@ -129,14 +129,14 @@
     /// \returns The targets, if the reply is a grant that this daemon can use.
     [[nodiscard]] std::optional<relay::ChosenTargets> handleReply(const PlacementReply &reply, core::Time now);
 
-    /// \brief When `pursue` should be called next.
+    /// \brief When `sendIfDue` should be called next.
     [[nodiscard]] core::Time nextDueAt() const noexcept
     {
         return m_nextDueAt;
     }
 
 private:
-    /// Cancels the placement request; the next `pursue` opens a new one.
+    /// Cancels the placement request; the next `sendIfDue` opens a new one.
     void cancelRequest();
     void sendRequest(const ChosenScheduler &scheduler, const relay::TargetQuery &query, int priority, core::Time now);
 
--- a/include/spurlug/core/counted.h
+++ b/include/spurlug/core/counted.h
@@ -14,7 +14,7 @@
 template<typename Derived>
 using RefCounted = boost::intrusive_ref_counter<Derived, boost::thread_safe_counter>;
 
-/// \brief A reference-counting pointer to a `Counted` object.
+/// \brief A reference-counting pointer to a `RefCounted` object.
 template<typename T>
 using Ref = boost::intrusive_ptr<T>;
 
--- a/include/spurlug/core/rendezvous.h
+++ b/include/spurlug/core/rendezvous.h
@@ -25,11 +25,11 @@
 /// \endcode
 [[nodiscard]] std::vector<std::string> rankByRendezvous(std::string_view item, std::vector<std::string> nodes);
 
-/// \brief Distributes items over nodes by rendezvous hashing, at most `most` to each node.
+/// \brief Distributes items over nodes by rendezvous hashing, at most `maxPerNode` to each node.
 ///
 /// An item goes to the node with the highest weight among those below the limit; the result depends only on the items,
 /// the nodes and the limit. When a node joins or leaves, its own items and few others move.
-/// \param most Items per node; raised when necessary to place every item.
+/// \param maxPerNode Items per node; raised when necessary to place every item.
 /// \returns The node of each item; empty when there are no nodes.
 [[nodiscard]] std::map<std::string, std::string> assignByRendezvous(const std::vector<std::string> &items,
                                                                     const std::vector<std::string> &nodes,
--- a/include/spurlug/dispatch/target_client.h
+++ b/include/spurlug/dispatch/target_client.h
@@ -14,7 +14,8 @@
 namespace spurlug::dispatch
 {
 
-/// \brief A protocol client for targets: runs one attempt and pushes its events, with an AttemptEnd as the last one.
+/// \brief A protocol client for targets: runs one attempt and pushes its events, with an `AttemptResult` as the last
+/// one.
 template<typename Client>
 concept TargetClient = requires(const Client client, const AttemptRequest &request, EventChannel &events)
 {
--- a/include/spurlug/relay/fleet_membership.h
+++ b/include/spurlug/relay/fleet_membership.h
@@ -23,12 +23,12 @@
 
 /// \brief Maintains the roster of live daemons.
 ///
-/// The first few daemons of a failure domain (`control::Registrars`) are its registrars and maintain its member list.
-/// Every daemon sends its heartbeats to the registrars of its own domain, and registrars send theirs to some of every
-/// other domain. Each heartbeat is answered by one that contains the number of live daemons in each domain, and the
-/// holders of roles with the next candidates. So the traffic of an ordinary daemon doesn't grow with the fleet; that of
-/// a registrar grows with its failure domain. Lists are forwarded with their age and expire, so that two daemons can't
-/// keep a dead one alive by reporting it to each other.
+/// The first few daemons of a failure domain (`control::RegistrarsPerDomain`) are its registrars and maintain its
+/// member list. Every daemon sends its heartbeats to the registrars of its own domain, and registrars send theirs to
+/// some of every other domain. Each heartbeat is answered by one that contains the number of live daemons in each
+/// domain, and the holders of roles with the next candidates. So the traffic of an ordinary daemon doesn't grow with
+/// the fleet; that of a registrar grows with its failure domain. Lists are forwarded with their age and expire, so that
+/// two daemons can't keep a dead one alive by reporting it to each other.
 ///
 /// A daemon that knows no others asks the seeds. This class uses no socket and no clock.
 class FleetMembership
@@ -98,8 +98,8 @@
     std::function<void(const core::Address &)> m_onNewPeer = [](const core::Address &) {};
     membership::PeerTable m_peers; ///< Daemons whose heartbeats this daemon receives itself.
     std::set<std::string> m_alivePeers; ///< VMs of those in `m_peers` that were heard from recently.
-    /// This daemon and those of `m_alive`. As a registrar it reports these only: if reports were forwarded as its own,
-    /// a dead daemon would count as live for as long as two daemons report it to each other.
+    /// This daemon and those of `m_alivePeers`. As a registrar it reports these only: if reports were forwarded as its
+    /// own, a dead daemon would count as live for as long as two daemons report it to each other.
     control::Roster m_directMembers;
     std::map<std::string, DomainReport> m_domainReports; ///< By failure domain.
     /// Addresses by failure domain, including unreachable domains.
--- a/include/spurlug/relay/fleet_rate.h
+++ b/include/spurlug/relay/fleet_rate.h
@@ -21,7 +21,7 @@
     static constexpr auto Retention = absl::Seconds(4);
 
     void add(core::Time now);
-    /// \brief Number of requests in a span of at most `Remembered` that ends now.
+    /// \brief Number of requests in a span of at most `Retention` that ends now.
     [[nodiscard]] std::int64_t countWithin(core::Duration span, core::Time now) const;
 
 private:
@@ -32,7 +32,7 @@
 struct FleetRate
 {
     double perSecond = 0;
-    /// The rate holds in any span of this length, at most `RecentSends::Remembered`.
+    /// The rate holds in any span of this length, at most `RecentSends::Retention`.
     core::Duration span = absl::Seconds(1);
 };
 
--- a/include/spurlug/relay/fleet_retry_budget.h
+++ b/include/spurlug/relay/fleet_retry_budget.h
@@ -65,8 +65,8 @@
 
 /// \brief Counts requests and retries of each service over a sliding window.
 ///
-/// A daemon may spend `margin` x `ratio` x its own requests + its fraction of the slack. The sum over all daemons stays
-/// within the limit without messages between them.
+/// A daemon may spend `ownRequestShare` x `ratio` x its own requests + its fraction of the slack. The sum over all
+/// daemons stays within the limit without messages between them.
 class FleetRetryBudget
 {
 public:
--- a/include/spurlug/relay/request_handler.h
+++ b/include/spurlug/relay/request_handler.h
@@ -98,7 +98,7 @@
     /// \returns What to do next if the attempt was aborted.
     [[nodiscard]] std::optional<NextStep> abortOrWait(SilenceState &silence, core::Time now);
     /// Aborts the attempt if it depends on a target whose incarnation ended.
-    /// \param given Set to whether the attempt was aborted.
+    /// \param aborted Set to whether the attempt was aborted.
     [[nodiscard]] NextStep handleIncarnationEnd(const Target &ended, bool &aborted);
     /// Whether a target still accepts connections. An engine is also asked whether it is the expected target; if
     /// another one now uses the address, the incarnation of the expected target has ended.
--- a/include/spurlug/relay/request_progress.h
+++ b/include/spurlug/relay/request_progress.h
@@ -37,9 +37,9 @@
     /// \returns The refusal if the request must not run.
     [[nodiscard]] std::optional<Refusal> authorise(core::Time now);
 
-    /// \brief The current criteria for a target. A request that has waited for a certain share of its latency
-    /// objective (`aim`) may queue at a target. The first call for a service counts the request towards the retry
-    /// budget of that service.
+    /// \brief The current criteria for a target. A request that has waited for a certain share of the
+    /// `latencyObjective` of its route may queue at a target. The first call for a service counts the request towards
+    /// the retry budget of that service.
     [[nodiscard]] TargetQuery query(core::Time now);
 
     /// \brief Chooses targets using the current knowledge of this daemon.
--- a/include/spurlug/routing/choose.h
+++ b/include/spurlug/routing/choose.h
@@ -64,9 +64,9 @@
 [[nodiscard]] core::Duration expectedTtft(const RouteRequest &request, const targets::TargetView &target,
                                           const RouteRule &rule);
 
-/// \brief Selects a target; `pick` spreads requests over targets that count as equal.
+/// \brief Selects a target; `randomValue` spreads requests over targets that count as equal.
 /// \param excluded Ids of targets that this request has already tried; used only if no other target is usable.
-/// \param pick Random number, so that daemons that see the same stale report do not all choose the same target.
+/// \param randomValue Random number, so that daemons that see the same stale report do not all choose the same target.
 [[nodiscard]] Choice chooseTarget(const RouteRequest &request, const std::vector<targets::TargetView> &targets,
                                   const std::vector<std::string> &excluded, const RouteRule &rule,
                                   std::uint64_t randomValue);
@@ -76,7 +76,7 @@
 /// Targets of other domains are considered if no target of the home domain is usable or the expected time there is
 /// long. Only those with a recent load report qualify. If neither the home domain nor such a target is usable, all
 /// targets are considered.
-/// \param home This daemon's failure domain.
+/// \param localDomain This daemon's failure domain.
 [[nodiscard]] Choice chooseAcrossDomains(const RouteRequest &request, const std::vector<targets::TargetView> &targets,
                                          const std::string &localDomain, const std::vector<std::string> &excluded,
                                          const RouteRule &rule, std::uint64_t randomValue);
--- a/src/daemon/completion_response.h
+++ b/src/daemon/completion_response.h
@@ -27,7 +27,7 @@
 inline constexpr auto MaxStatusDelay = absl::Milliseconds(1500);
 
 /// \brief Waits for the first output of the request, which determines the status of the response.
-/// \returns `dispatch::Quiet` if there is none within the given time.
+/// \returns `dispatch::NoOutput` if there is none within the given time.
 [[nodiscard]] inline dispatch::Output firstOutput(dispatch::RequestHandler &handler, core::Duration maxWait)
 {
     const auto waitEnd = core::now() + maxWait;
