--- a/include/spurlug/config/apply.h
+++ b/include/spurlug/config/apply.h
@@ -41,12 +41,12 @@
 template<objects::ObjectApi Api>
 void storeParts(const Api &api, const SplitConfiguration &split, const Root &current)
 {
-    std::map<std::string, bool> known;
+    std::map<std::string, bool> storedHashes;
     for (const auto &[name, hash] : current.parts) {
-        known[hash] = true;
+        storedHashes[hash] = true;
     }
     for (const auto &[hash, text] : split.texts) {
-        if (known.contains(hash)) {
+        if (storedHashes.contains(hash)) {
             continue;
         }
         try {
--- a/include/spurlug/relay/control_plane_impl.h
+++ b/include/spurlug/relay/control_plane_impl.h
@@ -74,18 +74,18 @@
         if (report->wantsAck && !m_context.draining && m_context.table) {
             reply(control::ReportAck{m_context.settings.vm});
         }
-    } else if (const auto *ask = std::get_if<control::PlacementRequest>(&message)) {
-        m_replyAddresses[ask->vm] = from;
-        reply(m_scheduler.handleRequest(*ask, now));
+    } else if (const auto *request = std::get_if<control::PlacementRequest>(&message)) {
+        m_replyAddresses[request->vm] = from;
+        reply(m_scheduler.handleRequest(*request, now));
     } else if (const auto *cancel = std::get_if<control::PlacementCancel>(&message)) {
         m_scheduler.cancel(*cancel);
     } else if (const auto *answer = std::get_if<control::PlacementReply>(&message)) {
         m_schedulerClient.handleReply(*answer, now);
-    } else if (const auto *taken = std::get_if<control::ReportAck>(&message)) {
-        m_schedulerClient.clearSuspicion(taken->vm, now);
-    } else if (const auto *question = std::get_if<control::FreshnessQuery>(&message)) {
-        reply(makeFreshnessReply(m_context, question->number, m_directoryWatcher.targetsAvailability().recoveredAt(),
-                                 now));
+    } else if (const auto *ack = std::get_if<control::ReportAck>(&message)) {
+        m_schedulerClient.clearSuspicion(ack->vm, now);
+    } else if (const auto *query = std::get_if<control::FreshnessQuery>(&message)) {
+        reply(
+            makeFreshnessReply(m_context, query->number, m_directoryWatcher.targetsAvailability().recoveredAt(), now));
     } else if (const auto *proof = std::get_if<control::FreshnessReply>(&message)) {
         handleFreshnessReply(*proof, now);
     } else if (const auto *crashes = std::get_if<control::CrashReport>(&message)) {
@@ -97,11 +97,11 @@
 void ControlPlane<Source>::sendGrants(core::Time now)
 {
     for (const auto &[vm, answer] : m_scheduler.placeQueued(now)) {
-        const auto asker = m_replyAddresses.find(vm);
+        const auto replyAddress = m_replyAddresses.find(vm);
         if (vm == m_context.settings.vm) {
             m_schedulerClient.handleReply(answer, now);
-        } else if (asker != m_replyAddresses.end()) {
-            m_transport.sendTo(asker->second, control::writeMessage(answer));
+        } else if (replyAddress != m_replyAddresses.end()) {
+            m_transport.sendTo(replyAddress->second, control::writeMessage(answer));
         }
     }
 }
@@ -110,8 +110,8 @@
 net::Task<> ControlPlane<Source>::servePlacementRequests()
 {
     for (;;) {
-        const auto woken = co_await m_wakeQueue.take(core::now() + IdleCheckInterval);
-        if (woken) {
+        const auto wasWoken = co_await m_wakeQueue.take(core::now() + IdleCheckInterval);
+        if (wasWoken) {
             // Requests and reports that arrive during the pause are handled in one check, which bounds the number of
             // checks however many arrive.
             co_await net::sleepFor(RequestCheckDelay);
@@ -137,9 +137,9 @@
 template<Directory Source>
 net::Task<> ControlPlane<Source>::trackRoles()
 {
-    std::map<control::Role, bool> held;
-    const auto note = [&](control::Role role, bool holds) {
-        if (std::exchange(held[role], holds) != holds) {
+    std::map<control::Role, bool> heldRoles;
+    const auto updateRole = [&](control::Role role, bool holds) {
+        if (std::exchange(heldRoles[role], holds) != holds) {
             m_context.metrics.count(holds ? metrics::Counter::RolesAcquired : metrics::Counter::RolesLost);
             core::log(core::LogLevel::Info, holds ? "role_taken" : "role_lost",
                       {{"role", core::nameOf(role)}, {"daemons", m_context.roster.size()}});
@@ -147,8 +147,8 @@
     };
     for (;;) {
         const auto first = m_context.roster.holders(control::Role::Scheduler, 1);
-        note(control::Role::Scheduler, !first.empty() && first.front().vm == m_context.settings.vm);
-        note(control::Role::DirectoryReader, m_sourceSelector.isReader());
+        updateRole(control::Role::Scheduler, !first.empty() && first.front().vm == m_context.settings.vm);
+        updateRole(control::Role::DirectoryReader, m_sourceSelector.isReader());
         co_await net::sleepFor(RoleCheckInterval);
     }
 }
@@ -160,12 +160,12 @@
         co_await net::sleepFor(SourceCheckInterval);
         const auto now = core::now();
         m_crashExchange.gossip(now);
-        const auto question = m_sourceSelector.nextQuery(m_context.directoryAnsweredAt(), now);
+        const auto query = m_sourceSelector.nextQuery(m_context.directoryAnsweredAt(), now);
         setIsolated(m_sourceSelector.isolated());
-        if (question) {
+        if (query) {
             m_context.metrics.count(metrics::Counter::FreshnessQueries);
-            m_transport.sendTo(question->source.datagramAddress,
-                               control::writeMessage(control::FreshnessQuery{question->queryNumber}));
+            m_transport.sendTo(query->source.datagramAddress,
+                               control::writeMessage(control::FreshnessQuery{query->queryNumber}));
         }
     }
 }
@@ -182,22 +182,22 @@
 template<Directory Source>
 void ControlPlane<Source>::handleFreshnessReply(const control::FreshnessReply &proof, core::Time now)
 {
-    const auto askedAt = m_sourceSelector.handleReply(proof, now);
-    if (!askedAt) {
+    const auto queriedAt = m_sourceSelector.handleReply(proof, now);
+    if (!queriedAt) {
         return;
     }
     setIsolated(m_sourceSelector.isolated());
     m_context.confirmationTriedAt = now;
-    // Ages in the answer are subtracted from the time of the question: the answer may have been delayed in transit.
+    // Ages in the answer are subtracted from the time of the query: the answer may have been delayed in transit.
     if (proof.version > 0 && proof.proofAge != absl::InfiniteDuration()) {
-        m_context.configurationFreshness.confirm(proof.version, *askedAt - proof.proofAge);
+        m_context.configurationFreshness.confirm(proof.version, *queriedAt - proof.proofAge);
     }
     applyEvacuations(m_context, proof.evacuations, "peer", now);
-    m_directoryWatcher.targetsAvailability().noteRecovered(*askedAt - proof.directoryRecoveryAge);
+    m_directoryWatcher.targetsAvailability().noteRecovered(*queriedAt - proof.directoryRecoveryAge);
     const bool lacksConfiguration = proof.version > (m_context.table ? m_context.table->version : 0);
     const bool lacksTargets = proof.targetsPosition > m_context.targetsPosition;
     if (!lacksTargets) {
-        m_context.targetsConfirmedAt = std::max(m_context.targetsConfirmedAt, *askedAt - proof.targetsAge);
+        m_context.targetsConfirmedAt = std::max(m_context.targetsConfirmedAt, *queriedAt - proof.targetsAge);
     }
     const auto *source = m_context.roster.find(proof.vm);
     if ((lacksConfiguration || lacksTargets) && source != nullptr && now >= m_fetchingUntil) {
@@ -213,13 +213,13 @@
     if (m_context.targetsPosition.isKnown()) {
         return peers; // Only a few changes are missing.
     }
-    auto near = m_context.roster.holdersIn(m_context.settings.failureDomain, control::Role::DirectoryReader,
-                                           m_context.daemonCount);
-    std::erase_if(near,
+    auto localReaders = m_context.roster.holdersIn(m_context.settings.failureDomain, control::Role::DirectoryReader,
+                                                   m_context.daemonCount);
+    std::erase_if(localReaders,
                   [&](const auto &member) { return member.vm == source.vm || member.vm == m_context.settings.vm; });
-    if (!near.empty()) {
-        const auto drawn = std::uniform_int_distribution<std::size_t>(0, near.size() - 1)(m_context.random);
-        peers.insert(peers.begin(), near[drawn].controlAddress);
+    if (!localReaders.empty()) {
+        const auto index = std::uniform_int_distribution<std::size_t>(0, localReaders.size() - 1)(m_context.random);
+        peers.insert(peers.begin(), localReaders[index].controlAddress);
     }
     return peers;
 }
@@ -239,16 +239,17 @@
 template<Directory Source>
 net::Task<bool> ControlPlane<Source>::fetchFrom(core::Address peer)
 {
-    const auto askedAt = core::now();
+    const auto queriedAt = core::now();
     const auto knownVersion = m_context.table ? m_context.table->version : 0;
-    const auto known = m_context.targetsPosition;
+    const auto knownPosition = m_context.targetsPosition;
     net::Request request;
     request.method = "GET";
-    request.target = core::cat("/state?version=", knownVersion, "&era=", known.era, "&targets=", known.revision);
+    request.target
+        = core::cat("/state?version=", knownVersion, "&era=", knownPosition.era, "&targets=", knownPosition.revision);
     request.headers.add("Host", peer.text());
     std::string problem;
     const auto answer
-        = co_await net::exchange(m_context.loop, peer, std::move(request), askedAt + FetchTimeout, problem);
+        = co_await net::exchange(m_context.loop, peer, std::move(request), queriedAt + FetchTimeout, problem);
     if (!answer || answer->head.status != core::http_status::Ok) {
         core::log(core::LogLevel::Warning, "peer_state_missing", {{"peer", peer.text()}, {"problem", problem}});
         co_return false;
@@ -257,18 +258,18 @@
         const auto state = readPeerState(answer->body);
         const auto now = core::now();
         if (state.version > 0 && state.proofAge != absl::InfiniteDuration()) {
-            m_context.configurationFreshness.confirm(state.version, askedAt - state.proofAge);
+            m_context.configurationFreshness.confirm(state.version, queriedAt - state.proofAge);
         }
         if (!state.document.empty()) {
             m_context.activateConfiguration(m_directory.readDocument(state.document), state.document, "peer", now);
         }
-        m_context.targetsConfirmedAt = std::max(m_context.targetsConfirmedAt, askedAt - state.targetsAge);
+        m_context.targetsConfirmedAt = std::max(m_context.targetsConfirmedAt, queriedAt - state.targetsAge);
         if (state.isFullList) {
             m_directoryWatcher.targetListUpdater().applyFullList(state.targets, state.targetsPosition, "peer", now);
         } else {
             m_directoryWatcher.targetListUpdater().applyChanges(state.targets, state.targetsPosition, "peer", now);
         }
-        co_return state.version > knownVersion || state.targetsPosition > known;
+        co_return state.version > knownVersion || state.targetsPosition > knownPosition;
     } catch (const core::InvalidDocument &error) {
         core::log(core::LogLevel::Warning, "peer_state_unreadable", {{"peer", peer.text()}, {"error", error.what()}});
     }
--- a/include/spurlug/relay/protocol_codec.h
+++ b/include/spurlug/relay/protocol_codec.h
@@ -16,43 +16,43 @@
 /// \brief Converts between HTTP messages and the relay's types. Stateless, and makes no decisions.
 template<typename D>
 concept ProtocolCodec
-    = requires(const D &dialect, const net::Request &request, const AttemptInfo &attempt, const net::ResponseHead &head,
+    = requires(const D &codec, const net::Request &request, const AttemptInfo &attempt, const net::ResponseHead &head,
                const Refusal &refusal, const RequestInfo &facts, const std::string &id, std::int64_t tokens,
                core::Duration hold, const std::string &targetId)
 {
     // Parses a caller's request. Throws core::Refused if the request is malformed.
     {
-        dialect.readRequest(request)
+        codec.readRequest(request)
         } -> std::same_as<RequestInfo>;
     // Builds the request that is sent to the target.
     {
-        dialect.attemptRequest(request, attempt)
+        codec.attemptRequest(request, attempt)
         } -> std::same_as<net::Request>;
     // Reads the head of a target's answer.
     {
-        dialect.readAnswer(head)
+        codec.readAnswer(head)
         } -> std::same_as<AnswerInfo>;
     // Builds the head that the caller gets from the head of a target's answer.
     {
-        dialect.answerHead(head)
+        codec.answerHead(head)
         } -> std::same_as<net::ResponseHead>;
     // Builds an error answer of the relay itself.
     {
-        dialect.refusal(refusal, facts)
+        codec.refusal(refusal, facts)
         } -> std::same_as<net::Response>;
     // Builds a request that reserves KV memory at an engine or renews the reservation; the engine answers 200 on
     // success. These requests name the target that they are meant for.
     {
-        dialect.reserveOrder(targetId, id, tokens, hold)
+        codec.reserveOrder(targetId, id, tokens, hold)
         } -> std::same_as<net::Request>;
     // Builds a request that releases the memory.
     {
-        dialect.releaseOrder(targetId, id)
+        codec.releaseOrder(targetId, id)
         } -> std::same_as<net::Request>;
     // Builds a request that has no effect at the engine; another target that now uses the address answers that it is
     // the wrong one.
     {
-        dialect.lifeCheck(targetId)
+        codec.lifeCheck(targetId)
         } -> std::same_as<net::Request>;
 };
 
--- a/include/spurlug/relay/request_handler_follow_impl.h
+++ b/include/spurlug/relay/request_handler_follow_impl.h
@@ -118,10 +118,10 @@
 }
 
 template<ProtocolCodec D>
-typename RequestHandler<D>::NextStep RequestHandler<D>::handleIncarnationEnd(const Target &ended, bool &given)
+typename RequestHandler<D>::NextStep RequestHandler<D>::handleIncarnationEnd(const Target &ended, bool &aborted)
 {
-    given = m_progress.dependsOn(ended);
-    if (!given) {
+    aborted = m_progress.dependsOn(ended);
+    if (!aborted) {
         return NextStep::Done;
     }
     m_attempt->abort();
