--- a/bench/corpus.h
+++ b/bench/corpus.h
@@ -21,7 +21,7 @@
 
     /// \brief Returns a prompt.
     /// \param bytes Size of the prompt.
-    /// \param draw Random value that selects the text and tags the prompt.
+    /// \param randomValue Random value that selects the text and tags the prompt.
     /// \param prefix Prefix that the prompt shares with others; empty: none.
     [[nodiscard]] std::string prompt(std::size_t bytes, std::uint64_t randomValue, const std::string &prefix) const;
 
--- a/include/spurlug/admission/byte_budget.h
+++ b/include/spurlug/admission/byte_budget.h
@@ -54,7 +54,7 @@
         std::int64_t m_bytes = 0;
     };
 
-    /// \param most Maximum number of bytes in use.
+    /// \param limit Maximum number of bytes in use.
     explicit ByteBudget(std::int64_t limit) noexcept
         : m_limit(limit)
     { }
--- a/include/spurlug/config/apply.h
+++ b/include/spurlug/config/apply.h
@@ -71,7 +71,7 @@
 ///
 /// When an answer is lost, the root's history tells whether the change took effect, even after later changes of other
 /// authors; a change that did not take effect is sent again under the same condition.
-/// \param expected The root that the author saw; the change is refused when another one is active.
+/// \param expectedRoot The root that the author saw; the change is refused when another one is active.
 /// \param changeId Unique id of this change.
 /// \returns The generation of the change.
 /// \throws VersionConflict when another author changed the configuration first; the change has no effect.
--- a/include/spurlug/control/roster.h
+++ b/include/spurlug/control/roster.h
@@ -73,7 +73,7 @@
     }
 
     /// \brief Holders of a role in all failure domains, in order of rank.
-    /// \param most Maximum number of holders to return.
+    /// \param maxCount Maximum number of holders to return.
     [[nodiscard]] std::vector<Member> holders(Role role, std::size_t maxCount) const;
     /// \brief Holders of a role in one failure domain, in order of rank.
     [[nodiscard]] std::vector<Member> holdersIn(const std::string &failureDomain, Role role,
--- a/include/spurlug/core/log.h
+++ b/include/spurlug/core/log.h
@@ -34,7 +34,7 @@
 
 /// \brief Initialises the log of this process. Call once, before any other thread starts.
 /// \param program Program name in each line.
-/// \param lowest Lines below this level are dropped.
+/// \param minLevel Lines below this level are dropped.
 void startLog(std::string_view program, LogLevel minLevel);
 
 /// \brief Changes the level below which lines are dropped.
--- a/include/spurlug/membership/domain_table.h
+++ b/include/spurlug/membership/domain_table.h
@@ -50,11 +50,11 @@
 class DomainTable
 {
 public:
-    /// \param own Failure domain of this daemon; summaries of it are dropped.
+    /// \param ownDomain Failure domain of this daemon; summaries of it are dropped.
     explicit DomainTable(std::string ownDomain);
 
     /// \brief Stores a summary unless an equally recent or newer one is known.
-    /// \param direct Whether it came directly from a daemon of that failure domain.
+    /// \param isDirect Whether it came directly from a daemon of that failure domain.
     /// \returns Whether it was stored.
     bool update(const DomainSummary &summary, bool isDirect, core::Time now);
 
--- a/include/spurlug/membership/peer_table.h
+++ b/include/spurlug/membership/peer_table.h
@@ -137,7 +137,7 @@
     [[nodiscard]] std::vector<std::string> otherDomains() const;
 
     /// \brief Addresses of daemons of another failure domain, live ones first.
-    /// \param most Maximum number of addresses.
+    /// \param maxCount Maximum number of addresses.
     [[nodiscard]] std::vector<core::Address> contactAddresses(const std::string &failureDomain, std::size_t maxCount,
                                                               core::Time now) const;
 
--- a/include/spurlug/net/client_connection.h
+++ b/include/spurlug/net/client_connection.h
@@ -77,7 +77,7 @@
 
 /// \brief Sends a request over a new connection and awaits the whole response.
 /// \param deadline Deadline of the whole exchange.
-/// \param problem Set to the error when there is no response; empty otherwise.
+/// \param error Set to the error when there is no response; empty otherwise.
 /// \returns Nothing when the response did not arrive completely.
 [[nodiscard]] Task<std::optional<Response>> exchange(Loop &loop, core::Address address, Request request,
                                                      core::Time deadline, std::string &error);
--- a/include/spurlug/relay/context.h
+++ b/include/spurlug/relay/context.h
@@ -88,8 +88,8 @@
 
     /// \brief Whether the information whose absence caused the rejection of a request may arrive shortly, so that the
     /// request is worth holding.
-    /// \param lacking Reason for the rejection. NotReady waits for the first configuration, StaleConfiguration for a
-    /// newer confirmation; the result is false for all others.
+    /// \param rejectionReason Reason for the rejection. NotReady waits for the first configuration, StaleConfiguration
+    /// for a newer confirmation; the result is false for all others.
     [[nodiscard]] bool missingDataExpectedSoon(core::Reason rejectionReason, core::Time now) const;
 
     /// \brief Whether a newer confirmation of the configuration may arrive shortly: this daemon isn't isolated, and the
--- a/include/spurlug/relay/directory_watcher.h
+++ b/include/spurlug/relay/directory_watcher.h
@@ -24,7 +24,7 @@
 class DirectoryAvailability
 {
 public:
-    /// \param what Name of the data that is read, for logs.
+    /// \param dataName Name of the data that is read, for logs.
     DirectoryAvailability(RelayContext &context, std::string dataName);
 
     /// \brief Records the result of a call.
--- a/include/spurlug/relay/peer_state.h
+++ b/include/spurlug/relay/peer_state.h
@@ -36,7 +36,7 @@
                                       const DirectoryPosition &requesterPosition, core::Time now);
 
 /// \brief Returns how recent this daemon's configuration and targets are.
-/// \param number Number of the question that this answers.
+/// \param queryNumber Number of the query that this answers.
 /// \param recoveredAt When the directory last recovered; in the infinite past if it never failed.
 [[nodiscard]] control::FreshnessReply makeFreshnessReply(const RelayContext &context, std::uint64_t queryNumber,
                                                          core::Time recoveredAt, core::Time now);
--- a/include/spurlug/relay/request_handler_impl.h
+++ b/include/spurlug/relay/request_handler_impl.h
@@ -209,10 +209,10 @@
         const auto id = core::cat(m_context.settings.vm, "-", absl::ToUnixMillis(core::now()), "-",
                                   ++m_context.reservationCounter);
         const auto &target = chosen.helpers[i]->entry.id;
-        auto onAnswer = [&context = m_context, &dialect = m_codec, helper = chosen.helpers[i],
-                         id](const net::ResponseHead &head) {
-            applyTargetNotice(context, *helper, dialect.readAnswer(head), id, core::now());
-        };
+        auto onAnswer
+            = [&context = m_context, &codec = m_codec, helper = chosen.helpers[i], id](const net::ResponseHead &head) {
+                  applyTargetNotice(context, *helper, codec.readAnswer(head), id, core::now());
+              };
         auto reservation
             = core::makeRef<Reservation>(m_context.loop, chosen.helpers[i]->entry.address, id,
                                          m_codec.reserveOrder(target, id, chosen.reservedTokens[i], holdTime),
--- a/include/spurlug/relay/request_progress.h
+++ b/include/spurlug/relay/request_progress.h
@@ -101,10 +101,10 @@
     /// prompt.
     [[nodiscard]] int enginePriority() const noexcept;
     /// \brief How long a target may send nothing before it is checked.
-    /// \param answering Whether bytes of the answer have arrived.
+    /// \param bodyStarted Whether bytes of the answer have arrived.
     [[nodiscard]] core::Duration silenceCheckDelay(const ChosenTargets &chosen, bool bodyStarted) const noexcept;
     /// \brief How long a target that accepts connections may send nothing before another target is tried.
-    /// \param answering Whether bytes of the answer have arrived.
+    /// \param bodyStarted Whether bytes of the answer have arrived.
     [[nodiscard]] core::Duration silenceTimeout(const ChosenTargets &chosen, bool bodyStarted) const noexcept;
     /// \brief How long a caller waits for the first event before it abandons the stream.
     [[nodiscard]] core::Duration callerTimeout() const noexcept;
--- a/include/spurlug/relay/reservation.h
+++ b/include/spurlug/relay/reservation.h
@@ -25,8 +25,8 @@
     /// \brief Called with the head of each answer to a reserve or release request.
     using AnswerHandler = std::function<void(const net::ResponseHead &)>;
 
-    /// \param hold How long the engine keeps the memory after each reserve request.
-    /// \param hear May be called after the end of the relayed request, so it must not refer to that.
+    /// \param holdTime How long the engine keeps the memory after each reserve request.
+    /// \param onAnswer May be called after the end of the relayed request, so it must not refer to that.
     Reservation(net::Loop &loop, core::Address engine, std::string id, net::Request reserve, net::Request release,
                 core::Duration holdTime, AnswerHandler onAnswer);
 
--- a/include/spurlug/routing/baselines.h
+++ b/include/spurlug/routing/baselines.h
@@ -16,7 +16,7 @@
 
 /// \brief Chooses among usable targets without using their load reports.
 /// \param usable Indices of the targets that may be chosen.
-/// \param pick Random number; for round robin, the number of the turn.
+/// \param randomValue Random number; for round robin, the number of the turn.
 /// \returns Index of the chosen target; nothing if none is usable.
 [[nodiscard]] std::optional<std::size_t> chooseByBaseline(config::RoutingStrategy strategy,
                                                           const std::vector<targets::TargetView> &targets,
--- a/include/spurlug/targets/cooldown.h
+++ b/include/spurlug/targets/cooldown.h
@@ -21,7 +21,7 @@
 public:
     /// \brief Applies a cooldown requested in an answer. Each counts from its own answer, and a shorter one does not
     /// end an earlier one.
-    /// \param span Limited to MaxCooldown.
+    /// \param duration Limited to MaxCooldown.
     void request(core::Duration duration, core::Time now) noexcept
     {
         m_endsAt = std::max(m_endsAt, now + std::min(duration, core::Duration(MaxCooldown)));
--- a/standins/cache_events.h
+++ b/standins/cache_events.h
@@ -36,7 +36,7 @@
 public:
     /// \param lag Age from which on an event is returned.
     /// \param lossInterval Interval of lost events: 50 drops every 50th event, 0 drops none.
-    /// \param kept Maximum number of events that are kept; older ones are dropped.
+    /// \param capacity Maximum number of events that are kept; older ones are dropped.
     CacheEvents(spurlug::core::Duration lag, std::uint64_t lossInterval, std::size_t capacity);
 
     void add(CacheEventKind kind, std::uint64_t block, spurlug::core::Time now);
--- a/standins/object_store.h
+++ b/standins/object_store.h
@@ -32,7 +32,7 @@
     [[nodiscard]] std::optional<StoredObject> read(const std::string &name) const ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// \brief Waits until an object's version is above `after`.
-    /// \param wait Maximum time to wait.
+    /// \param timeout Maximum time to wait.
     /// \returns The object, or nothing on timeout.
     [[nodiscard]] std::optional<StoredObject> awaitNewer(const std::string &name, std::int64_t after,
                                                          spurlug::core::Duration timeout) const
